--- a/src/routing/admission_policy.cpp
+++ b/src/routing/admission_policy.cpp
@@ -31,24 +31,24 @@
   return replica.loadPerSlot() < limit;
 }
 
-bool AdmissionPolicy::hasSpareRoom(const std::vector<const Replica*>& replicas) const {
+bool AdmissionPolicy::hasSpareCapacity(const std::vector<const Replica*>& replicas) const {
   double load = 0;
   std::size_t spare = 0;
   for (const Replica* const replica : replicas) {
     load += replica->loadPerSlot();
-    spare += isSpare(*replica) ? 1 : 0;
+    spare += isLightlyLoaded(*replica) ? 1 : 0;
   }
   const auto count = static_cast<double>(replicas.size());
   return load < knobs_.spare * count || 2 * spare >= replicas.size();
 }
 
-bool AdmissionPolicy::goesAnywhere(const AdmissionRequest& request) const {
+bool AdmissionPolicy::mayOverflow(const AdmissionRequest& request) const {
   if (request.stage != WorkStage::Continuing) {
     return false;
   }
-  constexpr double kHashes = 18446744073709551616.0;  // 2 to the power of 64.
-  const std::uint64_t drawn = XXH64(request.attempt.data(), request.attempt.size(), 0);
-  return static_cast<double>(drawn) < knobs_.shareElsewhere * kHashes;
+  constexpr double kHashCount = 18446744073709551616.0;  // Number of hash values: 2^64.
+  const std::uint64_t hash = XXH64(request.attempt.data(), request.attempt.size(), 0);
+  return static_cast<double>(hash) < knobs_.overflowFraction * kHashCount;
 }
 
 }  // namespace gorsetrail::routing
--- a/src/routing/admission_policy.h
+++ b/src/routing/admission_policy.h
@@ -1,4 +1,5 @@
-/// \file Which work still goes to a replica that is nearly full. Policy only: no I/O, no clock.
+/// \file Admission control for replicas that are near their capacity. Policy only: no I/O, no
+/// clock.
 #pragma once
 
 #include <cstdint>
@@ -9,61 +10,61 @@
 
 namespace gorsetrail::routing {
 
-/// What is lost when a request is turned away, in rising order.
+/// Program stage of a request, ordered by the work that is lost when the request is refused.
 enum class WorkStage : std::uint8_t {
-  Runaway,     ///< The program has used most of its budget: it probably loops.
+  Runaway,     ///< The program has used most of its budget and is probably in a loop.
   FirstTurn,   ///< Nothing of the program has run yet.
-  Continuing,  ///< Turns before it would be lost with it.
+  Continuing,  ///< Refusal would waste the program's earlier turns.
 };
 
-/// \return the stage's name, for log lines.
+/// \return the stage's snake_case name for log lines.
 std::string_view workStageName(WorkStage stage);
 
-/// Load per slot up to which work is admitted.
+/// Load limits of `AdmissionPolicy`, in requests per slot unless stated otherwise.
 struct AdmissionKnobs {
   double runaway = 0.6;
   double firstTurn = 1.2;
   double continuing = 2.0;
-  /// Below this a replica is spare. Work whose cheapest replica is full goes to a spare one while
-  /// there is spare room; with more load than that, reading prompts anew takes from all others.
+  /// A replica with a lower load is lightly loaded. A request that its cheapest replica refuses
+  /// goes to a lightly loaded replica if the fleet has spare capacity; without spare capacity the
+  /// extra prompt processing would slow down all other requests.
   double spare = 0.5;
-  /// Of the tries of turns that go on whose cheapest replica is full: these go to any replica that
-  /// admits first turns, spare or not. Nodes do not know of each other's refusals and clients
-  /// choose nodes at random, so each try is drawn by itself: of programs that try 24 times, one in
-  /// a thousand is refused each time.
-  double shareElsewhere = 0.25;
-  /// Added for routes of priority 0, the most urgent.
+  /// Fraction (0 to 1) of attempts of continuing programs that may overflow to any replica that
+  /// admits first turns. Each attempt is sampled independently, so that a client that retries at
+  /// other nodes is eventually placed without coordination between nodes.
+  double overflowFraction = 0.25;
+  /// Added to the limits for routes of priority 0, the most urgent.
   double mostUrgent = 0.25;
 };
 
-/// Work that admission may turn away.
+/// A request as admission control sees it.
 struct AdmissionRequest {
   WorkStage stage = WorkStage::FirstTurn;
   std::uint32_t priority = 5;  ///< 0 is the most urgent.
-  std::string_view attempt{};  ///< Its name; each try has its own.
+  std::string_view attempt{};  ///< Unique id of this attempt; selects overflow attempts.
 };
 
-/// Keeps replicas at the load where they still answer in time. What would only wait there, and be
-/// given up after its work was half done, is told at once to come back: first those programs of
-/// which nothing has run.
+/// Limits the load of replicas so that admitted requests finish before their timeout. Refuses
+/// other requests at once, so that they do not queue and time out. Programs that have not started
+/// are refused before those that have.
 class AdmissionPolicy {
  public:
   explicit AdmissionPolicy(AdmissionKnobs knobs) : knobs_(knobs) {}
 
-  /// \param replicas that the request may go to.
-  /// \return whether reading prompts anew takes room that nobody needs: on average the replicas are
-  /// spare, or half of them are.
-  [[nodiscard]] bool hasSpareRoom(const std::vector<const Replica*>& replicas) const;
-  /// \return whether this try goes to any replica that admits first turns.
-  [[nodiscard]] bool goesAnywhere(const AdmissionRequest& request) const;
-  [[nodiscard]] bool isSpare(const Replica& replica) const {
+  /// \param replicas the candidates of the request.
+  /// \return whether the candidates can process a prompt again without slowing down other requests:
+  /// their mean load is below `spare`, or at least half of them are lightly loaded.
+  [[nodiscard]] bool hasSpareCapacity(const std::vector<const Replica*>& replicas) const;
+  /// \return whether this attempt may go to any replica that admits first turns.
+  [[nodiscard]] bool mayOverflow(const AdmissionRequest& request) const;
+  [[nodiscard]] bool isLightlyLoaded(const Replica& replica) const {
     return replica.loadPerSlot() < knobs_.spare;
   }
   [[nodiscard]] bool admitsFirstTurns(const Replica& replica) const {
     return replica.loadPerSlot() < knobs_.firstTurn;
   }
 
-  /// \return whether the replica that is cheapest for the work takes it.
+  /// \return whether the replica admits the request.
   [[nodiscard]] bool admits(const Replica& replica, const AdmissionRequest& request) const;
 
  private:
--- a/src/routing/cold_replica_rule.cpp
+++ b/src/routing/cold_replica_rule.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 constexpr double kMicrosecondsPerSecond = 1e6;
-/// A feeder makes at least so many tokens a second: fewer feeders share a low limit.
-constexpr double kSlowestFeederRate = 1.0;
-/// Views of the members that may differ in all feeders at one moment.
-constexpr double kViews = 2.0;
-/// Of a node's share in a slot, for one that is not listed among those that take clients: it gets
-/// few requests, and there may be more of them than of the others.
-constexpr double kOutsiderPart = 0.25;
+/// Minimum token rate of a designated sender; a low limit is divided among fewer senders.
+constexpr double kMinSenderTokensPerSecond = 1.0;
+/// Membership views that may be in use at the same time with disjoint sets of senders.
+constexpr double kMembershipViews = 2.0;
+/// Share of a node that is not listed as accepting clients, relative to a listed one: it receives
+/// few requests, and such nodes may outnumber the listed ones.
+constexpr double kUnlistedNodeFraction = 0.25;
 
 std::uint64_t hashOf(std::string_view text, std::uint64_t seed) {
   return XXH64(text.data(), text.size(), seed);
@@ -24,37 +24,40 @@
 
 /// \return the hash as a number in [0, 1).
 double fractionOf(std::uint64_t hash) {
-  constexpr double kTwoToThe53 = 9007199254740992.0;
+  constexpr double kFractionSteps = 9007199254740992.0;
   constexpr unsigned kDroppedBits = 11;
-  return static_cast<double>(hash >> kDroppedBits) / kTwoToThe53;
+  return static_cast<double>(hash >> kDroppedBits) / kFractionSteps;
 }
 
 }  // namespace
 
+// The log keeps the names `cold_feeder` (designated sender), `cold_unsure` (unknown state) and
+// `cold_trusted` (responsive).
 std::string_view coldGrantName(ColdGrant grant) {
   switch (grant) {
     case ColdGrant::Unlimited:
       return {};
-    case ColdGrant::Feeder:
+    case ColdGrant::DesignatedSender:
       return "cold_feeder";
     case ColdGrant::StaticShare:
       return "cold_static_share";
-    case ColdGrant::Unsure:
+    case ColdGrant::UnknownState:
       return "cold_unsure";
-    case ColdGrant::Trusted:
+    case ColdGrant::Responsive:
       break;
   }
   return "cold_trusted";
 }
 
 ColdReplicaRule::ColdReplicaRule(ColdReplicaKnobs knobs, ColdReplicaSources sources,
-                                 std::string ownName, std::uint64_t life)
+                                 std::string ownName, std::uint64_t incarnation)
     : knobs_(knobs),
       sources_(std::move(sources)),
       ownName_(std::move(ownName)),
-      life_(life),
+      incarnation_(incarnation),
       slotPhase_(static_cast<Duration::rep>(
-          life % static_cast<std::uint64_t>(std::max<Duration::rep>(1, knobs.slot.count())))) {}
+          incarnation %
+          static_cast<std::uint64_t>(std::max<Duration::rep>(1, knobs.slot.count())))) {}
 
 void ColdReplicaRule::onRegistration(Replica& replica, bool isNew, Instant now) {
   const Service* const service = sources_.serviceOf(replica.entry.service);
@@ -63,7 +66,7 @@
   }
   const std::optional<Duration>& coldFor = replica.entry.coldFor;
   if (coldFor) {
-    // Warm again: used at once.
+    // A replica that reports itself warm has no limit from now on.
     replica.coldUntil = *coldFor > Duration::zero() ? now + *coldFor : Instant{};
   } else if (isNew && service != nullptr && service->coldTime > Duration::zero()) {
     replica.coldUntil = now + service->coldTime + knobs_.margin;
@@ -77,7 +80,7 @@
 
 void ColdReplicaRule::onEvacuationsListed(Instant now) {
   if (!isSure(now)) {
-    unsureUntilReadAt_ = now + knobs_.heartbeat + knobs_.margin;
+    unknownUntilReadAt_ = now + knobs_.heartbeat + knobs_.margin;
   }
 }
 
@@ -87,65 +90,67 @@
 
 void ColdReplicaRule::onFresh(Instant askedAt) {
   freshAt_ = std::max(freshAt_, askedAt);
-  endCautions();
+  dropOutdatedZoneReturns();
 }
 
-void ColdReplicaRule::endCautions() {
-  std::erase_if(cautions_, [this](const auto& caution) {
-    return freshAt_ >= caution.second + knobs_.heartbeat + knobs_.margin;
+void ColdReplicaRule::dropOutdatedZoneReturns() {
+  std::erase_if(zoneReturnedAt_, [this](const auto& zoneReturn) {
+    return freshAt_ >= zoneReturn.second + knobs_.heartbeat + knobs_.margin;
   });
 }
 
 void ColdReplicaRule::onZoneReturned(const std::string& zone, Instant now) {
-  cautions_[zone] = now;
+  zoneReturnedAt_[zone] = now;
 }
 
 double ColdReplicaRule::limitOf(const Replica& replica) const {
   return replica.coldRequestsPerSecond * knobs_.overshoot + knobs_.slack;
 }
 
-std::size_t ColdReplicaRule::feederCountOf(const Replica& replica) const {
-  const double perFeeder = kViews * (knobs_.feederBurst + kSlowestFeederRate);
-  const double fits = std::floor(knobs_.feederShare * limitOf(replica) / perFeeder);
-  return static_cast<std::size_t>(
-      std::clamp(fits, 1.0, static_cast<double>(std::max<std::size_t>(1, knobs_.feeders))));
+std::size_t ColdReplicaRule::senderCountOf(const Replica& replica) const {
+  const double burstPerSender = kMembershipViews * (knobs_.senderBurst + kMinSenderTokensPerSecond);
+  const double maxSenders = std::floor(knobs_.senderShare * limitOf(replica) / burstPerSender);
+  return static_cast<std::size_t>(std::clamp(
+      maxSenders, 1.0, static_cast<double>(std::max<std::size_t>(1, knobs_.designatedSenders))));
 }
 
-double ColdReplicaRule::feederRateOf(const Replica& replica) const {
-  const double nodes = kViews * static_cast<double>(feederCountOf(replica));
-  return std::max(0.0, knobs_.feederShare * limitOf(replica) / nodes - knobs_.feederBurst);
+double ColdReplicaRule::senderTokensPerSecond(const Replica& replica) const {
+  const double nodes = kMembershipViews * static_cast<double>(senderCountOf(replica));
+  return std::max(0.0, knobs_.senderShare * limitOf(replica) / nodes - knobs_.senderBurst);
 }
 
-double ColdReplicaRule::mostOfFeeder(const Replica& replica) const {
-  const double rate = feederRateOf(replica);
-  return rate > 0 ? std::floor(knobs_.feederBurst + rate) : 0.0;
+double ColdReplicaRule::maxSenderRequestsPerSecond(const Replica& replica) const {
+  const double rate = senderTokensPerSecond(replica);
+  return rate > 0 ? std::floor(knobs_.senderBurst + rate) : 0.0;
 }
 
-// What two views' feeders leave of the limit, for two lists of the members.
-std::size_t ColdReplicaRule::unsureSendersOf(const Replica& replica) const {
-  const double ofFeeders =
-      kViews * static_cast<double>(feederCountOf(replica)) * mostOfFeeder(replica);
-  const double left = std::floor((limitOf(replica) - ofFeeders) / (1.0 + knobs_.listsDifference));
+// Divides what the senders of `kMembershipViews` views leave of the limit. Each list has at most
+// this many owners; a second list adds at most `maxMemberListDifference` of them.
+std::size_t ColdReplicaRule::unknownStateSenderCountOf(const Replica& replica) const {
+  const double senderRequests = kMembershipViews * static_cast<double>(senderCountOf(replica)) *
+                                maxSenderRequestsPerSecond(replica);
+  const double left =
+      std::floor((limitOf(replica) - senderRequests) / (1.0 + knobs_.maxMemberListDifference));
   return left <= 0 ? 0 : static_cast<std::size_t>(left);
 }
 
-bool ColdReplicaRule::isFeederOf(const Replica& replica) const {
+bool ColdReplicaRule::isSenderOf(const Replica& replica) const {
   const std::vector<std::string>& nodes = sources_.nodes();
   if (std::find(nodes.begin(), nodes.end(), ownName_) == nodes.end()) {
     return false;
   }
   const std::uint64_t seed = hashOf(replica.entry.id, 0);
   const std::uint64_t own = hashOf(ownName_, seed);
-  const auto better = std::count_if(nodes.begin(), nodes.end(), [&](const std::string& node) {
+  const auto higherRanked = std::count_if(nodes.begin(), nodes.end(), [&](const std::string& node) {
     return hashOf(node, seed) > own;
   });
-  return static_cast<std::size_t>(better) < feederCountOf(replica);
+  return static_cast<std::size_t>(higherRanked) < senderCountOf(replica);
 }
 
 double ColdReplicaRule::tokensOf(const Bucket& bucket, const Replica& replica, Instant now) const {
   const double passed =
       static_cast<double>((now - bucket.filledAt).count()) / kMicrosecondsPerSecond;
-  return std::min(knobs_.feederBurst, bucket.tokens + passed * feederRateOf(replica));
+  return std::min(knobs_.senderBurst, bucket.tokens + passed * senderTokensPerSecond(replica));
 }
 
 std::int64_t ColdReplicaRule::slotOf(Instant now) const {
@@ -159,11 +164,11 @@
     return 0;
   }
   const bool isListed = std::find(nodes.begin(), nodes.end(), ownName_) != nodes.end();
-  const double own = (isListed ? 1.0 : kOutsiderPart) * share * limitOf(replica) /
+  const double own = (isListed ? 1.0 : kUnlistedNodeFraction) * share * limitOf(replica) /
                      static_cast<double>(nodes.size());
-  const std::uint64_t seed = life_ ^ static_cast<std::uint64_t>(slot);
-  const double chance = fractionOf(hashOf(replica.entry.id, seed));
-  return static_cast<std::uint32_t>(own) + (chance < own - std::floor(own) ? 1 : 0);
+  const std::uint64_t seed = incarnation_ ^ static_cast<std::uint64_t>(slot);
+  const double sample = fractionOf(hashOf(replica.entry.id, seed));
+  return static_cast<std::uint32_t>(own) + (sample < own - std::floor(own) ? 1 : 0);
 }
 
 std::uint32_t ColdReplicaRule::sentInSlot(const Replica& replica, std::int64_t slot) const {
@@ -171,7 +176,7 @@
   return used == slots_.end() || used->second.slot != slot ? 0 : used->second.sent;
 }
 
-bool ColdReplicaRule::hasSlotLeft(const Replica& replica, double share, Instant now) const {
+bool ColdReplicaRule::hasSlotAllowance(const Replica& replica, double share, Instant now) const {
   const std::int64_t slot = slotOf(now);
   const std::uint32_t allowance = slotAllowance(replica, share, slot);
   return allowance > 0 && sentInSlot(replica, slot) < allowance;
@@ -181,39 +186,40 @@
   if (replica.coldRequestsPerSecond <= 0) {
     return false;
   }
-  return now < replica.coldUntil || cautions_.contains(replica.entry.zone);
+  return now < replica.coldUntil || zoneReturnedAt_.contains(replica.entry.zone);
 }
 
 bool ColdReplicaRule::isSure(Instant now) const {
-  return freshAt_ >= unsureUntilReadAt_ &&
+  return freshAt_ >= unknownUntilReadAt_ &&
          now - std::min(freshAt_, evacuationsFreshAt_) < knobs_.staleAfter;
 }
 
-ColdReplicaRule::UnsureSlot ColdReplicaRule::unsureSlotOf(const Replica& replica,
-                                                          Instant now) const {
-  // The same in each process of this node, and spread over the owners.
+ColdReplicaRule::UnknownStateSlot ColdReplicaRule::unknownStateSlotOf(const Replica& replica,
+                                                                      Instant now) const {
+  // The phase is the same in each process of this node and differs between nodes.
   const std::uint64_t hash = hashOf(ownName_, hashOf(replica.entry.id, 0));
   const auto length =
-      static_cast<std::uint64_t>(std::max<Duration::rep>(1, knobs_.unsureSlot.count()));
+      static_cast<std::uint64_t>(std::max<Duration::rep>(1, knobs_.unknownStateSlot.count()));
   const Duration at = now.time_since_epoch() + Duration(static_cast<Duration::rep>(hash % length));
   const auto slotLength = static_cast<Duration::rep>(length);
-  return {at.count() / slotLength, at.count() % slotLength < knobs_.unsureWindow.count()};
+  return {at.count() / slotLength, at.count() % slotLength < knobs_.unknownStateWindow.count()};
 }
 
-bool ColdReplicaRule::mayGetUnsure(const Replica& replica, Instant now) const {
-  const UnsureSlot slot = unsureSlotOf(replica, now);
-  if (!slot.isOpen || !begunAt_) {
+bool ColdReplicaRule::maySendInUnknownState(const Replica& replica, Instant now) const {
+  const UnknownStateSlot slot = unknownStateSlotOf(replica, now);
+  if (!slot.isOpen || !firstTendAt_) {
     return false;
   }
-  // An earlier process of this node may have sent in the slot in which this one began.
-  const auto sent = unsureSentAt_.find(replica.entry.id);
-  const Instant usedAt = sent == unsureSentAt_.end() ? *begunAt_ : sent->second;
-  return unsureSlotOf(replica, usedAt).number != slot.number &&
-         members_.isOwnerOf(replica.entry.id, unsureSendersOf(replica));
+  // An earlier process of this node may have sent in the slot in which this one started.
+  const auto sent = unknownStateSentAt_.find(replica.entry.id);
+  const Instant usedAt = sent == unknownStateSentAt_.end() ? *firstTendAt_ : sent->second;
+  return unknownStateSlotOf(replica, usedAt).number != slot.number &&
+         members_.isOwnerOf(replica.entry.id, unknownStateSenderCountOf(replica));
 }
 
-bool ColdReplicaRule::isTrusted(const Replica& replica, Instant now) const {
-  return replica.isTrusted && replica.failures == 0 && now - replica.heardAt < knobs_.trustTime;
+bool ColdReplicaRule::isResponsive(const Replica& replica, Instant now) const {
+  return replica.isResponsive && replica.failures == 0 &&
+         now - replica.heardAt < knobs_.responsiveWithin;
 }
 
 std::optional<ColdGrant> ColdReplicaRule::grantOf(const Replica& replica, Instant now) const {
@@ -221,20 +227,20 @@
     return isAllowed ? std::optional(grant) : std::nullopt;
   };
   if (!isSure(now)) {
-    if (isTrusted(replica, now) && sentInSlot(replica, slotOf(now)) < knobs_.trustedPerSlot) {
-      return ColdGrant::Trusted;
+    if (isResponsive(replica, now) && sentInSlot(replica, slotOf(now)) < knobs_.trustedPerSlot) {
+      return ColdGrant::Responsive;
     }
-    return grantIf(mayGetUnsure(replica, now), ColdGrant::Unsure);
+    return grantIf(maySendInUnknownState(replica, now), ColdGrant::UnknownState);
   }
   if (!isCold(replica, now)) {
     return ColdGrant::Unlimited;
   }
   if (knobs_.sharing == ColdSharing::StaticShares) {
-    return grantIf(hasSlotLeft(replica, knobs_.staticShare, now), ColdGrant::StaticShare);
+    return grantIf(hasSlotAllowance(replica, knobs_.staticShare, now), ColdGrant::StaticShare);
   }
   const auto bucket = buckets_.find(replica.entry.id);
   const bool hasToken = bucket != buckets_.end() && tokensOf(bucket->second, replica, now) >= 1.0;
-  return grantIf(hasToken, ColdGrant::Feeder);
+  return grantIf(hasToken, ColdGrant::DesignatedSender);
 }
 
 std::string_view ColdReplicaRule::grantNameOf(const Replica& replica, Instant now) const {
@@ -245,31 +251,31 @@
   return grant ? coldGrantName(*grant) : std::string_view();
 }
 
-std::optional<PlacementBar> ColdReplicaRule::barOf(const Replica& replica,
-                                                   const PlacementSubject& /*subject*/,
-                                                   Instant now) const {
+std::optional<ExclusionReason> ColdReplicaRule::barOf(const Replica& replica,
+                                                      const PlacementSubject& /*subject*/,
+                                                      Instant now) const {
   if (replica.coldRequestsPerSecond <= 0) {
     return std::nullopt;
   }
-  // The usual case: everything is known, and the replica is warm.
-  if (isSure(now) && now >= replica.coldUntil && cautions_.empty()) {
+  // Fast path: the state is known, and the replica is warm.
+  if (isSure(now) && now >= replica.coldUntil && zoneReturnedAt_.empty()) {
     return std::nullopt;
   }
   if (grantOf(replica, now)) {
     return std::nullopt;
   }
-  return PlacementBar::ColdRateSpent;
+  return ExclusionReason::ColdRateExhausted;
 }
 
-void ColdReplicaRule::onPassedOver(const Replica& /*replica*/) { ++passedOver_; }
+void ColdReplicaRule::onExcluded(const Replica& /*replica*/) { ++passedOver_; }
 
 void ColdReplicaRule::onSent(const Replica& replica, Instant now) {
-  const bool isUsual = isSure(now) && now >= replica.coldUntil && cautions_.empty();
-  if (replica.coldRequestsPerSecond <= 0 || isUsual) {
+  const bool isUnlimited = isSure(now) && now >= replica.coldUntil && zoneReturnedAt_.empty();
+  if (replica.coldRequestsPerSecond <= 0 || isUnlimited) {
     return;
   }
   if (!isSure(now)) {
-    unsureSentAt_[replica.entry.id] = now;
+    unknownStateSentAt_[replica.entry.id] = now;
   }
   const std::int64_t slot = slotOf(now);
   SlotUse& used = slots_[replica.entry.id];
@@ -281,59 +287,61 @@
   }
 }
 
-Duration ColdReplicaRule::retryAfter(PlacementBar /*bar*/) const { return knobs_.retryAfter; }
+Duration ColdReplicaRule::retryAfter(ExclusionReason /*bar*/) const { return knobs_.retryAfter; }
 
-void ColdReplicaRule::tendReplica(Replica& replica, Instant now,
-                                  std::vector<ColdReplicaChange>& changes) {
+void ColdReplicaRule::updateReplica(Replica& replica, Instant now,
+                                    std::vector<ColdReplicaChange>& changes) {
   const std::string& id = replica.entry.id;
   const Service* const service = sources_.serviceOf(replica.entry.service);
   replica.coldRequestsPerSecond = service == nullptr ? 0 : service->coldRequestsPerSecond;
   const bool cold = isCold(replica, now);
-  const bool answers = replica.failures == 0 && now - replica.heardAt < knobs_.trustTime;
-  replica.isTrusted = answers && !cold && (replica.isTrusted || isSure(now));
-  const bool feeds = cold && knobs_.sharing == ColdSharing::Feeders && isFeederOf(replica);
-  if (feeds) {
-    buckets_.try_emplace(id, Bucket{knobs_.firstTokens, now});
+  const bool answers = replica.failures == 0 && now - replica.heardAt < knobs_.responsiveWithin;
+  replica.isResponsive = answers && !cold && (replica.isResponsive || isSure(now));
+  const bool isSender =
+      cold && knobs_.sharing == ColdSharing::DesignatedSenders && isSenderOf(replica);
+  if (isSender) {
+    buckets_.try_emplace(id, Bucket{knobs_.initialTokens, now});
   } else {
     buckets_.erase(id);
   }
   const auto known = cold_.find(id);
   const bool wasCold = known != cold_.end();
-  const bool fedBefore = wasCold && known->second;
-  if (cold != wasCold || feeds != fedBefore) {
+  const bool wasSender = wasCold && known->second;
+  if (cold != wasCold || isSender != wasSender) {
     const Duration remaining =
         cold ? std::max(Duration::zero(), replica.coldUntil - now) : Duration::zero();
-    changes.push_back({id, replica.entry.zone, cold, remaining, feeds});
+    changes.push_back({id, replica.entry.zone, cold, remaining, isSender});
   }
   if (cold) {
-    cold_[id] = feeds;
+    cold_[id] = isSender;
   } else {
     cold_.erase(id);
   }
 }
 
-void ColdReplicaRule::forgetSlots(Instant now) {
+void ColdReplicaRule::dropExpiredSlots(Instant now) {
   const std::int64_t slot = slotOf(now);
   std::erase_if(slots_, [slot](const auto& entry) { return entry.second.slot < slot; });
-  std::erase_if(unsureSentAt_,
-                [this, now](const auto& entry) { return now - entry.second >= knobs_.unsureSlot; });
+  std::erase_if(unknownStateSentAt_, [this, now](const auto& entry) {
+    return now - entry.second >= knobs_.unknownStateSlot;
+  });
 }
 
 std::vector<ColdReplicaChange> ColdReplicaRule::tend(const std::vector<ReplicaPtr>& replicas,
                                                      Instant now) {
   std::vector<ColdReplicaChange> changes;
-  if (!begunAt_) {
-    begunAt_ = now;
+  if (!firstTendAt_) {
+    firstTendAt_ = now;
   }
   if (!isSure(now)) {
     members_.update(sources_.members(), ownName_);
   }
   limitedReplicas_ = 0;
   for (const ReplicaPtr& replica : replicas) {
-    tendReplica(*replica, now, changes);
+    updateReplica(*replica, now, changes);
     limitedReplicas_ += replica->coldRequestsPerSecond > 0 ? 1 : 0;
   }
-  forgetSlots(now);
+  dropExpiredSlots(now);
   if (buckets_.size() + cold_.size() > 0) {
     const auto isGone = [&replicas](const auto& entry) {
       return std::none_of(replicas.begin(), replicas.end(), [&entry](const ReplicaPtr& replica) {
--- a/src/routing/cold_replica_rule.h
+++ b/src/routing/cold_replica_rule.h
@@ -1,5 +1,5 @@
-/// \file A rate over the whole fleet for each cold replica, kept without messages. No I/O, no
-/// clock.
+/// \file Fleet-wide rate limit for each cold replica, enforced without messages between nodes. No
+/// I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -17,150 +17,149 @@
 
 namespace gorsetrail::routing {
 
-/// Who may send to a cold replica.
+/// How a cold replica's rate limit is divided among nodes.
 enum class ColdSharing : std::uint8_t {
-  Feeders,       ///< A few nodes that all agree on, each with a token bucket.
-  StaticShares,  ///< Every node, in its own random part of the time.
+  DesignatedSenders,  ///< Among a few designated senders, each with a token bucket; nodes agree on
+                      ///< them.
+  StaticShares,       ///< Among all nodes: each may send in pseudo-random time slots.
 };
 
-/// By what a request to a replica that may be cold is allowed.
+/// Why a request to a replica that may be cold is admitted.
 enum class ColdGrant : std::uint8_t {
-  Unlimited,    ///< The replica is warm.
-  Feeder,       ///< It is cold; this node is one of its feeders.
-  StaticShare,  ///< It is cold; this node uses its part of the time.
-  Unsure,       ///< This node cannot know its state.
-  Trusted,      ///< As before, and the replica answers this node all the time.
+  Unlimited,         ///< The replica is warm.
+  DesignatedSender,  ///< It is cold, and this node is a designated sender with a token.
+  StaticShare,       ///< It is cold, and this node has allowance left in this slot.
+  UnknownState,      ///< Its state is unknown here, and this node may send its occasional request.
+  Responsive,        ///< Its state is unknown here, but it has kept responding to this node.
 };
 
-/// \return a stable snake_case name for log lines; empty: nothing limits the request.
+/// \return a stable snake_case name for log lines; empty if nothing limits the request.
 [[nodiscard]] std::string_view coldGrantName(ColdGrant grant);
 
-/// Knobs of `ColdReplicaRule`. All nodes must use the same. The limit is what may reach one replica
-/// in any second; how it is divided is worked out in docs/design/0015-cold-replicas.md.
+/// Settings of `ColdReplicaRule`, which must be the same at all nodes. The limit bounds the
+/// requests that reach one replica in any second; docs/design/0015-cold-replicas.md derives its
+/// division.
 struct ColdReplicaKnobs {
-  ColdSharing sharing = ColdSharing::Feeders;
-  /// A cold replica's limit: the rate it bears times this, and `slack`.
+  ColdSharing sharing = ColdSharing::DesignatedSenders;
+  /// The limit is `coldRequestsPerSecond * overshoot + slack`, in requests per second.
   double overshoot = 1.5;
   double slack = 5;
-  /// Between two registrations of a replica.
+  /// Interval between two registrations of a replica.
   Duration heartbeat = milliseconds(1200);
-  /// A registration is written, and a request travels, so much later than planned at most.
+  /// Maximum delay of a registration's write, and of a request on its way to the replica.
   Duration margin = milliseconds(300);
-  /// Nodes that send to one cold replica, by one view of the members. With more of them, more of
-  /// the fleet's requests are at a feeder; with fewer, each may send at a higher rate.
-  std::size_t feeders = 4;
-  /// Of the limit, for the feeders of two views of the members that have no feeder in common. At
-  /// the usual limit a feeder then sends two whole requests in any second; a little more would make
-  /// it three, and the owners' part is what eight feeders leave.
-  double feederShare = 0.56;
-  /// Tokens that a feeder may save up.
-  double feederBurst = 1.0;
-  /// Tokens that a node has as it becomes a feeder: another one, or an earlier life of this node,
-  /// may just have sent.
-  double firstTokens = 0;
-  /// A node that does not know the state of a replica sends it one request in so long, and only at
-  /// the beginning of that time, for `unsureWindow`. The time is counted by the machine's clock,
-  /// which goes on when the process starts again, so that two requests lie a second apart whichever
-  /// process sent them, and a process that has just started need not wait for that long.
-  Duration unsureSlot = milliseconds(1300);
-  Duration unsureWindow = milliseconds(300);
-  /// Two nodes' lists of the members may differ in such a part of the ring. Lists are read from the
-  /// store, within seconds of one another, and members stay listed for minutes after their end.
-  double listsDifference = 0.25;
-  /// Of the limit, in each slot, for all nodes where `sharing` says so. A second may touch three
-  /// slots of a node: 0.36 of the limit in the mean, with room for chance sums of many nodes.
+  /// Designated senders of a replica under one membership view. More senders cover more of the
+  /// fleet's requests; fewer senders have a higher rate each.
+  std::size_t designatedSenders = 4;
+  /// Fraction of the limit for the designated senders of two disjoint membership views. The rest of
+  /// the limit is left for nodes in unknown state; a larger fraction would let a sender reach three
+  /// requests per second at the usual limit.
+  double senderShare = 0.56;
+  /// Capacity of a sender's token bucket.
+  double senderBurst = 1.0;
+  /// Initial tokens of a new sender's bucket. Zero, since another sender, or an earlier process of
+  /// this node, may have sent just before.
+  double initialTokens = 0;
+  /// A node that does not know a replica's state sends it at most one request per
+  /// `unknownStateSlot`, and only within `unknownStateWindow` of the slot's start. Slots follow the
+  /// machine's clock, which continues over a process restart, so that requests of two processes are
+  /// a second apart too.
+  Duration unknownStateSlot = milliseconds(1300);
+  Duration unknownStateWindow = milliseconds(300);
+  /// Maximum difference of two nodes' member lists, as a fraction of the hash ring. Nodes read the
+  /// lists within seconds of each other, and ended members stay listed for minutes.
+  double maxMemberListDifference = 0.25;
+  /// Fraction of the limit per `slot`, for all nodes together, with `ColdSharing::StaticShares`.
+  /// One second overlaps at most three slots of a node, which leaves room for random variation.
   double staticShare = 0.12;
-  /// A node that may send in a slot sends in it or not at all: nothing is saved up.
+  /// Length of a slot. Unused allowance does not carry over to the next slot.
   Duration slot = milliseconds(500);
-  /// Without an answer of the store for so long a node does not know who is cold: the heartbeat
-  /// and the longest pauses between reads, with room for one lost read.
+  /// A node does not know which replicas are cold if the store has not answered for this long.
+  /// Covers the heartbeat, the longest pauses between reads and one lost read.
   Duration staleAfter = seconds(3);
-  /// A replica that has answered within this, and went on answering while the store is silent, has
-  /// not come back cold from an absence.
-  Duration trustTime = seconds(2);
-  /// Requests in a slot to such a replica, for each node that does not know its state: programs
-  /// under way keep their replica, with a turn each half second.
+  /// A replica that has kept responding within this time while the store is unavailable counts as
+  /// responsive: it cannot have restarted cold.
+  Duration responsiveWithin = seconds(2);
+  /// Requests per slot to a responsive replica, for each node in unknown state, so that running
+  /// programs keep their replica.
   std::uint32_t trustedPerSlot = 1;
-  /// A feeder makes a token in about 0.3 s.
+  /// Shorter than the interval in which a sender usually gains a token.
   Duration retryAfter = milliseconds(150);
 };
 
-/// What the rule needs to know of the node's surroundings; asked when needed.
+/// Queries for the node's current view of services and members.
 struct ColdReplicaSources {
-  /// \return the service's description; null: not known.
+  /// \return the service; null if it is unknown.
   std::function<const Service*(std::string_view name)> serviceOf;
-  /// \return names of the nodes that take clients, this one included where it does; empty: not
-  /// known.
+  /// \return names of the nodes that accept clients, including this node if it does; empty if
+  /// unknown.
   std::function<const std::vector<std::string>&()> nodes;
-  /// \return all members that are listed, whether they live or not, by the same names and weighted
-  /// by the clients that come to them; empty: they were not listed yet.
+  /// \return all listed members, alive or not, under the same names and weighted by their client
+  /// traffic; empty before the first listing.
   std::function<const std::vector<RingMember>&()> members;
 };
 
-/// One replica turned cold or warm, or this node became its feeder or is none any more; for a log
-/// line.
+/// A change of a replica's cold state or of this node's sender role, for a log line.
 struct ColdReplicaChange {
   std::string id;
   std::string zone;
   bool isCold = false;
-  Duration remaining = Duration::zero();  ///< Zero: not known.
-  bool isFeeder = false;                  ///< This node sends to it.
+  Duration remaining = Duration::zero();  ///< Remaining cold time; zero if unknown.
+  bool isFeeder = false;                  ///< This node is a designated sender of the replica.
 };
 
-/// Keeps the limit of cold replicas. A replica counts as cold by what its registration says; while
-/// it is new here and its registration says nothing; and while its zone has just been taken back
-/// from an evacuation. A node that cannot know (it has just started, or the store is silent) sends
-/// one request a second to a few replicas, and more only to those that answer it all the time.
+/// Enforces the rate limit of cold replicas. A replica counts as cold if its registration says so,
+/// if it is new and its registration does not report its state, or if its zone has just returned
+/// from an evacuation. A node in unknown state (after a start, or while the store is unavailable)
+/// sends about one request per second to each of a few replicas, and more only to responsive ones.
 ///
-/// Why the limit holds: of all nodes that know the state, only the feeders send; of those that do
-/// not, only the replica's owners on the ring of members. Both are limited in number by agreement
-/// and not by chance, and so is what each of them sends in a second. Not covered: nodes that do not
-/// know the state and trust the replica, since it answers them all the time; nothing limits their
-/// number.
+/// Guarantee: among nodes that know the state only designated senders send, among the others only
+/// the replica's owners on the member ring. The numbers of both and the rate of each are bounded,
+/// so the limit holds. Not covered: nodes in unknown state that send to a responsive replica; their
+/// number is not bounded.
 class ColdReplicaRule final : public PlacementRule {
  public:
-  /// \param ownName this node's name among `ColdReplicaSources::nodes`.
-  /// \param life differs between processes.
+  /// \param ownName this node's name in `ColdReplicaSources::nodes`.
+  /// \param incarnation identifies this process; differs between processes.
   ColdReplicaRule(ColdReplicaKnobs knobs, ColdReplicaSources sources, std::string ownName,
-                  std::uint64_t life);
+                  std::uint64_t incarnation);
 
-  /// A registration was read into the replica.
-  /// \param isNew it was not known before, and this node followed the registrations already.
+  /// Applies a registration to the replica.
+  /// \param isNew whether the replica has appeared since this node began to follow registrations.
   void onRegistration(Replica& replica, bool isNew, Instant now);
-  /// The replica's process has started again: the rate and the state of before are no longer its
-  /// own. What this node sent lately still spaces its requests, since some may have reached the
-  /// new life.
+  /// Forgets the state of a replica whose process has restarted. Keeps the times of recent
+  /// requests, since some of them may have reached the new process.
   void onLifeEnded(const std::string& id);
-  /// A whole listing told which zones are evacuated. Where this node did not know before (it has
-  /// just started, or the store was silent), a zone may have been taken back just before that.
+  /// Handles the first complete listing of evacuated zones after a start or an outage of the store.
+  /// A zone may have returned just before, so the state stays unknown until newer registrations.
   void onEvacuationsListed(Instant now);
-  /// Everything that operators wrote before that moment has been read.
+  /// All evacuation records written before `askedAt` have been read.
   void onEvacuationsFresh(Instant askedAt);
-  /// Everything that was registered before that moment has been read.
+  /// All registrations written before `askedAt` have been read.
   void onFresh(Instant askedAt);
-  /// A zone's evacuation was taken back: its replicas may have turned cold before, and their
-  /// registrations may not tell it yet.
+  /// Handles the end of a zone's evacuation. The zone's replicas count as cold until their
+  /// registrations report their current state.
   void onZoneReturned(const std::string& zone, Instant now);
-  /// Call it with all replicas some times a second, and when services change.
-  /// \return what changed since the last call.
+  /// Updates the state of all replicas. Must be called several times a second and when services
+  /// change. \return the changes since the last call.
   std::vector<ColdReplicaChange> tend(const std::vector<ReplicaPtr>& replicas, Instant now);
 
-  [[nodiscard]] std::optional<PlacementBar> barOf(const Replica& replica,
-                                                  const PlacementSubject& subject,
-                                                  Instant now) const override;
+  [[nodiscard]] std::optional<ExclusionReason> barOf(const Replica& replica,
+                                                     const PlacementSubject& subject,
+                                                     Instant now) const override;
   void onSent(const Replica& replica, Instant now) override;
   [[nodiscard]] std::string_view grantNameOf(const Replica& replica, Instant now) const override;
-  void onPassedOver(const Replica& replica) override;
-  [[nodiscard]] Duration retryAfter(PlacementBar bar) const override;
+  void onExcluded(const Replica& replica) override;
+  [[nodiscard]] Duration retryAfter(ExclusionReason bar) const override;
 
   [[nodiscard]] bool isCold(const Replica& replica, Instant now) const;
   /// \return whether this node knows which replicas are cold.
   [[nodiscard]] bool isSure(Instant now) const;
-  /// \return cold replicas as of the last `tend`.
+  /// \return the number of cold replicas as of the last `tend`.
   [[nodiscard]] std::size_t coldReplicas() const { return cold_.size(); }
-  /// \return replicas that have a limit while they are cold, as of the last `tend`.
+  /// \return the number of replicas with a cold rate limit as of the last `tend`.
   [[nodiscard]] std::size_t limitedReplicas() const { return limitedReplicas_; }
-  /// \return how often a placement passed a replica over.
+  /// \return how often this rule excluded a replica from a placement.
   [[nodiscard]] std::uint64_t passedOver() const { return passedOver_; }
 
  private:
@@ -168,61 +167,60 @@
     double tokens = 0;
     Instant filledAt;
   };
-  /// What was sent to a replica in one slot of time.
+  /// Requests sent to a replica in one time slot.
   struct SlotUse {
     std::int64_t slot = 0;
     std::uint32_t sent = 0;
   };
   [[nodiscard]] double limitOf(const Replica& replica) const;
-  [[nodiscard]] double feederRateOf(const Replica& replica) const;
-  [[nodiscard]] std::size_t feederCountOf(const Replica& replica) const;
-  [[nodiscard]] bool isFeederOf(const Replica& replica) const;
-  /// \return requests that a feeder may send in one second.
-  [[nodiscard]] double mostOfFeeder(const Replica& replica) const;
-  /// \return nodes that may send to the replica, by one list of the members, while they cannot
-  /// know its state.
-  [[nodiscard]] std::size_t unsureSendersOf(const Replica& replica) const;
+  [[nodiscard]] double senderTokensPerSecond(const Replica& replica) const;
+  [[nodiscard]] std::size_t senderCountOf(const Replica& replica) const;
+  [[nodiscard]] bool isSenderOf(const Replica& replica) const;
+  /// \return the maximum requests of one designated sender in any second.
+  [[nodiscard]] double maxSenderRequestsPerSecond(const Replica& replica) const;
+  /// \return the number of owners under one member list that may send in unknown state: the part of
+  /// the limit that designated senders leave, for two lists.
+  [[nodiscard]] std::size_t unknownStateSenderCountOf(const Replica& replica) const;
   [[nodiscard]] double tokensOf(const Bucket& bucket, const Replica& replica, Instant now) const;
   [[nodiscard]] std::int64_t slotOf(Instant now) const;
-  /// \return requests that this node may send in a slot, of `share` of the limit.
+  /// \return requests that this node may send in a slot, from the given share of the limit.
   [[nodiscard]] std::uint32_t slotAllowance(const Replica& replica, double share,
                                             std::int64_t slot) const;
   [[nodiscard]] std::uint32_t sentInSlot(const Replica& replica, std::int64_t slot) const;
-  [[nodiscard]] bool hasSlotLeft(const Replica& replica, double share, Instant now) const;
-  /// The part of time in which this node may send one request to a replica whose state it cannot
-  /// know.
-  struct UnsureSlot {
+  [[nodiscard]] bool hasSlotAllowance(const Replica& replica, double share, Instant now) const;
+  /// The time slot in which this node may send one request to a replica of unknown state.
+  struct UnknownStateSlot {
     std::int64_t number = 0;
-    bool isOpen = false;  ///< Its window.
+    bool isOpen = false;  ///< Whether its send window is open.
   };
-  [[nodiscard]] UnsureSlot unsureSlotOf(const Replica& replica, Instant now) const;
-  /// \return whether this node may send a request to the replica, whose state it cannot know.
-  [[nodiscard]] bool mayGetUnsure(const Replica& replica, Instant now) const;
-  [[nodiscard]] bool isTrusted(const Replica& replica, Instant now) const;
-  /// \return by what this node may send to the replica now; nothing: it may not.
+  [[nodiscard]] UnknownStateSlot unknownStateSlotOf(const Replica& replica, Instant now) const;
+  /// \return whether this node may send a request to a replica whose state it does not know.
+  [[nodiscard]] bool maySendInUnknownState(const Replica& replica, Instant now) const;
+  [[nodiscard]] bool isResponsive(const Replica& replica, Instant now) const;
+  /// \return why a request to the replica is admitted now; empty if it is not.
   [[nodiscard]] std::optional<ColdGrant> grantOf(const Replica& replica, Instant now) const;
-  void tendReplica(Replica& replica, Instant now, std::vector<ColdReplicaChange>& changes);
-  void endCautions();
-  void forgetSlots(Instant now);
+  void updateReplica(Replica& replica, Instant now, std::vector<ColdReplicaChange>& changes);
+  void dropOutdatedZoneReturns();
+  void dropExpiredSlots(Instant now);
 
   ColdReplicaKnobs knobs_;
   ColdReplicaSources sources_;
   std::string ownName_;
-  std::uint64_t life_;
+  std::uint64_t incarnation_;
   Duration slotPhase_;
-  Instant freshAt_;             ///< The registrations.
-  Instant evacuationsFreshAt_;  ///< A zone's return is no news to who reads only registrations.
-  /// Registrations of before this moment do not tell who was cold when the process started.
-  Instant unsureUntilReadAt_ = Instant::max();
-  /// Zones that were taken back: registrations of after that moment tell who is cold.
-  std::map<std::string, Instant, std::less<>> cautions_;
-  std::map<std::string, Bucket, std::less<>> buckets_;  ///< Of replicas that this node feeds.
+  Instant freshAt_;             ///< All registrations written before have been read.
+  Instant evacuationsFreshAt_;  ///< All evacuation records written before have been read.
+  /// The state stays unknown until registrations written after this time have been read.
+  Instant unknownUntilReadAt_ = Instant::max();
+  /// When each zone returned from evacuation; dropped once newer registrations have been read.
+  std::map<std::string, Instant, std::less<>> zoneReturnedAt_;
+  std::map<std::string, Bucket, std::less<>> buckets_;  ///< Of replicas that this node sends to.
   std::map<std::string, SlotUse, std::less<>> slots_;
-  std::optional<Instant> begunAt_;  ///< The first look at the replicas.
-  MemberRing members_;              ///< As of the last `tend` at which this node was unsure.
-  /// When this node last sent to a replica whose state it did not know, of the last slots.
-  std::map<std::string, Instant, std::less<>> unsureSentAt_;
-  std::map<std::string, bool, std::less<>> cold_;  ///< By id; whether this node feeds it.
+  std::optional<Instant> firstTendAt_;  ///< Time of the first `tend`.
+  MemberRing members_;                  ///< As of the last `tend` in unknown state.
+  /// When this node last sent to each replica in unknown state, within the last `unknownStateSlot`.
+  std::map<std::string, Instant, std::less<>> unknownStateSentAt_;
+  std::map<std::string, bool, std::less<>> cold_;  ///< Id to whether this node is a sender.
   std::size_t limitedReplicas_ = 0;
   std::uint64_t passedOver_ = 0;
 };
--- a/src/routing/evacuation.cpp
+++ b/src/routing/evacuation.cpp
@@ -11,34 +11,34 @@
 bool EvacuationTable::onTakenBack(const std::string& zone) { return since_.erase(zone) > 0; }
 
 std::vector<std::string> EvacuationTable::onListed(const std::vector<std::string>& zones) {
-  known_ = true;
-  std::vector<std::string> takenBack;
+  isListingRead_ = true;
+  std::vector<std::string> ended;
   for (const auto& [zone, since] : since_) {
     if (std::find(zones.begin(), zones.end(), zone) == zones.end()) {
-      takenBack.push_back(zone);
+      ended.push_back(zone);
     }
   }
-  for (const std::string& zone : takenBack) {
+  for (const std::string& zone : ended) {
     onTakenBack(zone);
   }
-  return takenBack;
+  return ended;
 }
 
-std::optional<PlacementBar> EvacuationRule::barOf(const Replica& replica,
-                                                  const PlacementSubject& /*subject*/,
-                                                  Instant /*now*/) const {
+std::optional<ExclusionReason> EvacuationRule::barOf(const Replica& replica,
+                                                     const PlacementSubject& /*subject*/,
+                                                     Instant /*now*/) const {
   if (!table_.isKnown()) {
-    return PlacementBar::EvacuationUnknown;
+    return ExclusionReason::EvacuationUnknown;
   }
   if (table_.isEvacuated(replica.entry.zone)) {
-    return PlacementBar::ZoneEvacuated;
+    return ExclusionReason::ZoneEvacuated;
   }
   return std::nullopt;
 }
 
-Duration EvacuationRule::retryAfter(PlacementBar bar) const {
-  return bar == PlacementBar::EvacuationUnknown ? knobs_.retryAfterUnknown
-                                                : knobs_.retryAfterEvacuated;
+Duration EvacuationRule::retryAfter(ExclusionReason bar) const {
+  return bar == ExclusionReason::EvacuationUnknown ? knobs_.retryAfterUnknown
+                                                   : knobs_.retryAfterEvacuated;
 }
 
 }  // namespace gorsetrail::routing
--- a/src/routing/evacuation.h
+++ b/src/routing/evacuation.h
@@ -1,4 +1,4 @@
-/// \file Zones whose replicas get nothing further until operators take that back. No I/O, no clock.
+/// \file Zones that operators have taken out of service. No I/O, no clock.
 #pragma once
 
 #include <map>
@@ -11,50 +11,48 @@
 
 namespace gorsetrail::routing {
 
-/// The evacuated zones as this node has read them. The operators' records in the store are the only
-/// home of this state: nothing is kept over a restart, and before the first whole listing it is not
-/// known that there are none.
+/// The evacuated zones as last read from the store, which holds the operators' records. Nothing
+/// survives a restart: until the first complete listing it is unknown which zones are evacuated.
 class EvacuationTable {
  public:
-  /// A record was read. \return whether the zone was not evacuated before.
+  /// Handles a created record. \return whether the zone is newly evacuated.
   bool onEvacuated(const std::string& zone, Instant now);
-  /// The record was removed. \return whether the zone was evacuated before.
+  /// Handles a removed record. \return whether the zone was evacuated before.
   bool onTakenBack(const std::string& zone);
-  /// A whole listing named these zones and no others: a record that went with dropped history was
-  /// taken back. \return the zones that were evacuated until now.
+  /// Replaces the table by a complete listing, which also ends evacuations whose removal was lost
+  /// with truncated history. \return the zones that are no longer evacuated.
   std::vector<std::string> onListed(const std::vector<std::string>& zones);
 
-  [[nodiscard]] bool isKnown() const { return known_; }
+  [[nodiscard]] bool isKnown() const { return isListingRead_; }
   [[nodiscard]] bool isEvacuated(std::string_view zone) const { return since_.contains(zone); }
-  /// \return the evacuated zones, each with the moment at which this node read of it.
+  /// \return the evacuated zones, each with the time at which this node learned of it.
   [[nodiscard]] const std::map<std::string, Instant, std::less<>>& zones() const { return since_; }
 
  private:
-  bool known_ = false;
+  bool isListingRead_ = false;
   std::map<std::string, Instant, std::less<>> since_;
 };
 
-/// Knobs of `EvacuationRule`.
+/// Retry delays of `EvacuationRule`.
 struct EvacuationRuleKnobs {
-  /// Where every zone is evacuated: nobody knows for how long, and operators take seconds. A rule
-  /// of thumb: as long as one step of an operator.
+  /// Used if every zone is evacuated.
   Duration retryAfterEvacuated = milliseconds(1000);
-  /// A process reads the listing within some tenths of a second of its start.
+  /// Used until the first listing has been read, which happens shortly after the process starts.
   Duration retryAfterUnknown = milliseconds(250);
 };
 
-/// Keeps all requests from replicas of evacuated zones, and from all replicas before this node
-/// knows which zones those are. Streams under way at such a replica may end.
+/// Excludes replicas in evacuated zones, and all replicas until this node has read which zones are
+/// evacuated. Streams that already run at such a replica may finish.
 class EvacuationRule final : public PlacementRule {
  public:
   /// \param table outlives this object.
   EvacuationRule(const EvacuationTable& table, EvacuationRuleKnobs knobs)
       : table_(table), knobs_(knobs) {}
 
-  [[nodiscard]] std::optional<PlacementBar> barOf(const Replica& replica,
-                                                  const PlacementSubject& subject,
-                                                  Instant now) const override;
-  [[nodiscard]] Duration retryAfter(PlacementBar bar) const override;
+  [[nodiscard]] std::optional<ExclusionReason> barOf(const Replica& replica,
+                                                     const PlacementSubject& subject,
+                                                     Instant now) const override;
+  [[nodiscard]] Duration retryAfter(ExclusionReason bar) const override;
 
  private:
   const EvacuationTable& table_;
--- a/src/routing/fleet_load.cpp
+++ b/src/routing/fleet_load.cpp
@@ -8,9 +8,10 @@
 namespace gorsetrail::routing {
 namespace {
 
-/// \return what the sum over the nodes that were heard is multiplied by.
-double scaleOf(std::size_t heard, std::size_t all) {
-  return heard == 0 ? 0.0 : std::max(1.0, static_cast<double>(all) / static_cast<double>(heard));
+/// \return the factor that extrapolates the sum over the reporting nodes to all nodes.
+double scaleOf(std::size_t reporting, std::size_t all) {
+  return reporting == 0 ? 0.0
+                        : std::max(1.0, static_cast<double>(all) / static_cast<double>(reporting));
 }
 
 }  // namespace
@@ -26,26 +27,26 @@
 
 void FleetLoad::onDigest(LoadDigest digest, Instant now) {
   Entry& entry = byNode_[digest.node];
-  // A restarted node begins anew: a digest after a silence counts whatever its number.
-  const bool newer = digest.beat > entry.digest.beat || now - entry.heardAt > knobs_.silence;
+  // A restarted node restarts its sequence numbers, so any digest replaces an expired one.
+  const bool newer = digest.beat > entry.digest.beat || now - entry.receivedAt > knobs_.silence;
   if (newer) {
     entry = {std::move(digest), now};
   }
 }
 
-void FleetLoad::dropSilent(Instant now) {
+void FleetLoad::dropStale(Instant now) {
   for (auto entry = byNode_.begin(); entry != byNode_.end();) {
-    const bool silent = now - entry->second.heardAt > knobs_.silence;
-    entry = silent ? byNode_.erase(entry) : std::next(entry);
+    const bool isStale = now - entry->second.receivedAt > knobs_.silence;
+    entry = isStale ? byNode_.erase(entry) : std::next(entry);
   }
 }
 
 void FleetLoad::apply(const ReplicaTable& replicas, NodeCounts otherNodes, Instant now) {
-  dropSilent(now);
-  const auto heardNear = static_cast<std::size_t>(std::count_if(
+  dropStale(now);
+  const auto nearReported = static_cast<std::size_t>(std::count_if(
       byNode_.begin(), byNode_.end(), [this](const auto& entry) { return isNear(entry.second); }));
-  const double nearScale = scaleOf(heardNear, otherNodes.near);
-  const double farScale = scaleOf(byNode_.size() - heardNear, otherNodes.far);
+  const double nearScale = scaleOf(nearReported, otherNodes.near);
+  const double farScale = scaleOf(byNode_.size() - nearReported, otherNodes.far);
   struct Sum {
     double inFlight = 0;
     double failed = 0;
--- a/src/routing/fleet_load.h
+++ b/src/routing/fleet_load.h
@@ -1,4 +1,4 @@
-/// \file What other nodes have under way at replicas. No I/O, no clock.
+/// \file Load of replicas caused by other nodes. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -12,67 +12,67 @@
 
 namespace gorsetrail::routing {
 
-/// Short name of a replica's life in digests: what other nodes told of an earlier life does not
-/// count for a later one. Collisions only blur an estimate.
+/// Hash of a replica's id and process start, so that reports about an earlier incarnation do not
+/// count for a later one. A collision only makes the load estimate less accurate.
 using ReplicaHash = std::uint32_t;
 ReplicaHash replicaHashOf(std::string_view replicaId, std::optional<ReplicaStart> startedAt = {});
 
-/// Requests of one node at one replica.
+/// Requests of one node in flight at one replica.
 struct ReplicaLoad {
   ReplicaHash replica = 0;
   std::uint16_t inFlight = 0;
 };
 
-/// What one node has seen fail at one replica lately.
+/// Recent failures of one node's requests at one replica.
 struct ReplicaTrouble {
   ReplicaHash replica = 0;
-  double failed = 0;  ///< Requests, fading.
-  double ended = 0;   ///< Requests, fading; failed ones included.
+  double failed = 0;  ///< Failed requests, decayed over time.
+  double ended = 0;   ///< All finished requests including failed ones, decayed over time.
 };
 
-/// Short name of a region in digests.
+/// Hash of a region's name, used in digests.
 using RegionHash = std::uint32_t;
 RegionHash regionHashOf(std::string_view region);
 
-/// What one node tells the others.
+/// Load report that a node sends to other nodes.
 struct LoadDigest {
   std::uint64_t node = 0;  ///< Hash of the node's address.
-  std::uint64_t beat = 0;  ///< Rises in one life; an older digest is dropped.
+  std::uint64_t beat = 0;  ///< Sequence number within one process; older digests are dropped.
   std::vector<ReplicaLoad> loads;
-  std::vector<ReplicaTrouble> troubles;  ///< Only replicas where something failed.
+  std::vector<ReplicaTrouble> troubles;  ///< Only replicas with failures.
   RegionHash region = 0;
 };
 
-/// Nodes known to serve, by where they are.
+/// Number of nodes in service, by region.
 struct NodeCounts {
-  std::size_t near = 0;  ///< In this node's region, itself left out.
+  std::size_t near = 0;  ///< In this node's region, without this node.
   std::size_t far = 0;
 };
 
-/// Knobs of `FleetLoad`.
+/// Settings of `FleetLoad`.
 struct FleetLoadKnobs {
-  Duration silence = milliseconds(600);  ///< A node that was not heard for this long has no load.
+  Duration silence = milliseconds(600);  ///< Digests older than this are dropped.
 };
 
-/// Sums the newest digest of every node. In a fleet where only some nodes' digests arrive, the sum
-/// is scaled up to all of them: apart for the own region, whose nodes are heard more often and have
-/// most of what the near replicas run.
+/// Sums the latest digests of all nodes. If only some nodes' digests arrive, extrapolates to the
+/// whole fleet, separately for this node's region, whose nodes report more often and cause most of
+/// the load at its replicas.
 class FleetLoad {
  public:
-  /// \param region this node's own.
+  /// \param region of this node.
   explicit FleetLoad(FleetLoadKnobs knobs, RegionHash region = 0)
       : knobs_(knobs), region_(region) {}
 
   void onDigest(LoadDigest digest, Instant now);
-  /// Writes the others' load into the replicas.
+  /// Updates the other nodes' load and failures in each replica.
   void apply(const ReplicaTable& replicas, NodeCounts otherNodes, Instant now);
 
  private:
   struct Entry {
     LoadDigest digest;
-    Instant heardAt;
+    Instant receivedAt;
   };
-  void dropSilent(Instant now);
+  void dropStale(Instant now);
   [[nodiscard]] bool isNear(const Entry& entry) const { return entry.digest.region == region_; }
 
   FleetLoadKnobs knobs_;
--- a/src/routing/locality.h
+++ b/src/routing/locality.h
@@ -1,5 +1,4 @@
-/// \file How far places are from each other: same zone, same region, another region. Policy only:
-/// no I/O, no clock.
+/// \file Network distance between zones, by zone and region. Policy only: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -11,24 +10,23 @@
 
 namespace gorsetrail::routing {
 
-/// Names of regions.
+/// Region names.
 using RegionSet = std::set<std::string, std::less<>>;
 
-/// Distance of two zones, nearest first: the numbers may be compared.
+/// Distance between two zones, ordered from nearest to farthest.
 enum class Distance : std::uint8_t {
   SameZone,
   SameRegion,
   OtherRegion,
 };
 
-/// The zones of a deployment and the region of each, from the settings. All nodes have the same
-/// table, so all come to the same distances; measured times would differ between nodes, and they
-/// would disagree on who coordinates what.
+/// Maps the zones of a deployment to regions, from the settings. Distances are configured rather
+/// than measured, so that all nodes agree on them and therefore on the coordinator of each key.
 class ZoneTable {
  public:
   using RegionOfZone = std::map<std::string, std::string, std::less<>>;
 
-  /// Without an entry nothing is in another region.
+  /// An empty table: no zone is in another region.
   ZoneTable() = default;
   explicit ZoneTable(RegionOfZone regionOfZone);
 
@@ -37,11 +35,11 @@
   [[nodiscard]] bool hasRegion(std::string_view region) const { return regions_.contains(region); }
   [[nodiscard]] bool hasSeveralRegions() const { return regions_.size() > 1; }
   [[nodiscard]] const RegionSet& regions() const { return regions_; }
-  /// Zones that are not in the table are in a region of their own, where there are several.
+  /// In a table with several regions, a zone that is not listed counts as a region of its own.
   [[nodiscard]] Distance between(std::string_view one, std::string_view other) const;
-  /// \return whether the zone lies in one of the regions.
+  /// \return whether the zone's region is among `regions`; false for a zone that is not listed.
   [[nodiscard]] bool isIn(std::string_view zone, const RegionSet& regions) const;
-  /// \return the zones of these regions, nearest to `from` first, then by name.
+  /// \return the zones of these regions, ordered by distance from `from`, then by name.
   [[nodiscard]] std::vector<std::string> zonesOf(const RegionSet& regions,
                                                  std::string_view from) const;
 
--- a/src/routing/member_ring.cpp
+++ b/src/routing/member_ring.cpp
@@ -8,9 +8,10 @@
 namespace gorsetrail::routing {
 namespace {
 
-/// Of the members with the largest weight; what 32 points carry differs by a sixth.
-constexpr double kMostPoints = 32;
-/// Keys and members of one name stand at different points.
+/// Points of the members with the largest weight. With 32, their shares of the ring deviate by
+/// about a sixth.
+constexpr double kMaxPoints = 32;
+/// Separates the points of keys from those of members with the same name.
 constexpr std::uint64_t kFirstKeySeed = std::uint64_t{1} << 32U;
 
 std::uint64_t pointOf(std::string_view name, std::uint64_t seed) {
@@ -25,44 +26,45 @@
   return largest;
 }
 
-/// \return the member's points; one at least, so that a member whose weight is small beside others'
-/// can take its part where those are gone.
+/// \return the member's points; at least one, so that a member with a relatively small weight can
+/// own keys when the others are gone.
 std::vector<std::uint64_t> pointsOf(const RingMember& member, double largestWeight) {
   const double share = largestWeight > 0 ? member.weight / largestWeight : 1.0;
-  const double count = std::max(1.0, std::round(share * kMostPoints));
+  const double count = std::max(1.0, std::round(share * kMaxPoints));
   std::vector<std::uint64_t> points(static_cast<std::size_t>(count));
-  for (std::size_t number = 0; number < points.size(); ++number) {
-    points[number] = pointOf(member.name, number);
+  for (std::size_t index = 0; index < points.size(); ++index) {
+    points[index] = pointOf(member.name, index);
   }
   return points;
 }
 
 }  // namespace
 
-void MemberRing::update(const std::vector<RingMember>& members, std::string_view own) {
+void MemberRing::update(const std::vector<RingMember>& members, std::string_view ownName) {
   if (members == members_) {
     return;
   }
   members_ = members;
   ownArcs_.clear();
-  const auto self = std::find_if(members.begin(), members.end(),
-                                 [own](const RingMember& member) { return member.name == own; });
-  if (self == members.end()) {
+  const auto ownMember =
+      std::find_if(members.begin(), members.end(),
+                   [ownName](const RingMember& member) { return member.name == ownName; });
+  if (ownMember == members.end()) {
     return;
   }
   const double largestWeight = largestWeightOf(members);
-  beginArcs(pointsOf(*self, largestWeight));
+  initializeArcs(pointsOf(*ownMember, largestWeight));
   for (const RingMember& member : members) {
-    if (member.name != own) {
+    if (member.name != ownName) {
       for (const std::uint64_t point : pointsOf(member, largestWeight)) {
-        cutArc(point);
+        claimForOther(point);
       }
     }
   }
 }
 
-// As if this node stood on the ring alone.
-void MemberRing::beginArcs(std::vector<std::uint64_t> ownPoints) {
+// Builds this node's arcs as if it were the only member.
+void MemberRing::initializeArcs(std::vector<std::uint64_t> ownPoints) {
   std::sort(ownPoints.begin(), ownPoints.end());
   std::uint64_t before = ownPoints.back();
   for (const std::uint64_t point : ownPoints) {
@@ -71,34 +73,34 @@
   }
 }
 
-// What lies up to another member's point belongs to that member.
-void MemberRing::cutArc(std::uint64_t point) {
-  Arc& arc = ownArcs_[arcBehind(point)];
+// Removes the part of this node's arc that belongs to another member's point.
+void MemberRing::claimForOther(std::uint64_t point) {
+  Arc& arc = ownArcs_[arcAtOrAfter(point)];
   if (arc.end - point < arc.end - arc.begin || arc.end == arc.begin) {
     arc.begin = point;
   }
 }
 
-std::size_t MemberRing::arcBehind(std::uint64_t point) const {
+std::size_t MemberRing::arcAtOrAfter(std::uint64_t point) const {
   const auto next =
       std::lower_bound(ownArcs_.begin(), ownArcs_.end(), point,
                        [](const Arc& arc, std::uint64_t wanted) { return arc.end < wanted; });
-  // Behind the last arc the ring goes on at its first point.
+  // The ring wraps around after the last arc.
   return next == ownArcs_.end() ? 0 : static_cast<std::size_t>(next - ownArcs_.begin());
 }
 
-bool MemberRing::isOwn(std::uint64_t point) const {
+bool MemberRing::ownsPoint(std::uint64_t point) const {
   if (ownArcs_.empty()) {
     return false;
   }
-  const Arc& arc = ownArcs_[arcBehind(point)];
-  // One point alone on the ring has all of it.
+  const Arc& arc = ownArcs_[arcAtOrAfter(point)];
+  // An arc with equal ends covers the whole ring: there is only one point.
   return arc.end == arc.begin || arc.end - point < arc.end - arc.begin;
 }
 
 bool MemberRing::isOwnerOf(std::string_view key, std::size_t count) const {
-  for (std::size_t number = 0; number < count; ++number) {
-    if (isOwn(pointOf(key, kFirstKeySeed + number))) {
+  for (std::size_t index = 0; index < count; ++index) {
+    if (ownsPoint(pointOf(key, kFirstKeySeed + index))) {
       return true;
     }
   }
--- a/src/routing/member_ring.h
+++ b/src/routing/member_ring.h
@@ -1,4 +1,4 @@
-/// \file Which of a fleet's members share a key, without messages. No I/O, no clock.
+/// \file Consistent hashing of keys to cluster members. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 namespace gorsetrail::routing {
 
-/// A member and how much it carries against others.
+/// A member and its weight relative to other members.
 struct RingMember {
   std::string name;
   double weight = 1.0;  ///< Not negative.
@@ -17,34 +17,33 @@
   [[nodiscard]] bool operator==(const RingMember& other) const = default;
 };
 
-/// A hash ring (consistent hashing). Each member stands on it at many points, in proportion to its
-/// weight, and carries as much; a key that `count` members share has as many points, and each
-/// belongs to the next member behind it. So one list of members gives a key `count` owners at most,
-/// and two lists twice as many however they differ. Looking a key up takes the same time in a fleet
-/// of any size.
+/// A consistent hash ring. Each member has points on the ring in proportion to its weight. A key
+/// with `count` owners has `count` points, each owned by the next member point. Under one member
+/// list a key has at most `count` owners; nodes with two different lists yield at most twice as
+/// many. Lookup time does not depend on the cluster size.
 class MemberRing {
  public:
-  /// \param members all that are known; one named twice counts once. \param own this node's name.
-  void update(const std::vector<RingMember>& members, std::string_view own);
+  /// \param members the known members; a duplicate counts once.
+  /// \param ownName this node's name.
+  void update(const std::vector<RingMember>& members, std::string_view ownName);
 
-  /// \return whether one of the key's points belongs to this node; never while it does not stand
-  /// among the members itself.
+  /// \return whether this node owns one of the key's points; false if it is not a member.
   [[nodiscard]] bool isOwnerOf(std::string_view key, std::size_t count) const;
 
  private:
-  /// A part of the ring: the points behind `begin` up to `end`.
+  /// A part of the ring: the points after `begin`, up to and including `end`.
   struct Arc {
     std::uint64_t begin = 0;
     std::uint64_t end = 0;
   };
-  void beginArcs(std::vector<std::uint64_t> ownPoints);
-  void cutArc(std::uint64_t point);
-  /// \return the number of the own arc that ends at the point or next behind it.
-  [[nodiscard]] std::size_t arcBehind(std::uint64_t point) const;
-  [[nodiscard]] bool isOwn(std::uint64_t point) const;
+  void initializeArcs(std::vector<std::uint64_t> ownPoints);
+  void claimForOther(std::uint64_t point);
+  /// \return the index of this node's arc whose end is the first one at or after the point.
+  [[nodiscard]] std::size_t arcAtOrAfter(std::uint64_t point) const;
+  [[nodiscard]] bool ownsPoint(std::uint64_t point) const;
 
   std::vector<RingMember> members_;  ///< As of the last update.
-  std::vector<Arc> ownArcs_;         ///< By their ends.
+  std::vector<Arc> ownArcs_;         ///< Sorted by `end`.
 };
 
 }  // namespace gorsetrail::routing
--- a/src/routing/outcome_tally.h
+++ b/src/routing/outcome_tally.h
@@ -1,4 +1,4 @@
-/// \file How a replica's latest requests ended, as counts that fade. No I/O, no clock.
+/// \file Exponentially decaying counts of request outcomes. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -8,31 +8,31 @@
 
 namespace gorsetrail::routing {
 
-/// Counts fade by half in this time, so that a replica that works again is used again.
+/// Bounds how long a recovered replica is avoided.
 inline constexpr Duration kOutcomeHalfLife = milliseconds(2500);
 
-/// Requests that ended at a replica, and those of them that failed there.
+/// Counts the finished requests of a replica and the failed ones among them.
 class OutcomeTally {
  public:
   void note(bool failed, Instant now) {
-    const double factor = fadingSince(now);
+    const double factor = decayFactor(now);
     ended_ = ended_ * factor + 1.0;
     failed_ = failed_ * factor + (failed ? 1.0 : 0.0);
-    countedAt_ = now;
+    updatedAt_ = now;
   }
-  [[nodiscard]] double ended(Instant now) const { return ended_ * fadingSince(now); }
-  [[nodiscard]] double failed(Instant now) const { return failed_ * fadingSince(now); }
+  [[nodiscard]] double ended(Instant now) const { return ended_ * decayFactor(now); }
+  [[nodiscard]] double failed(Instant now) const { return failed_ * decayFactor(now); }
 
  private:
-  [[nodiscard]] double fadingSince(Instant now) const {
-    const double halfLives = static_cast<double>((now - countedAt_).count()) /
-                             static_cast<double>(kOutcomeHalfLife.count());
-    return std::exp2(-std::max(0.0, halfLives));
+  [[nodiscard]] double decayFactor(Instant now) const {
+    const double elapsedHalfLives = static_cast<double>((now - updatedAt_).count()) /
+                                    static_cast<double>(kOutcomeHalfLife.count());
+    return std::exp2(-std::max(0.0, elapsedHalfLives));
   }
 
   double ended_ = 0;
   double failed_ = 0;
-  Instant countedAt_{};
+  Instant updatedAt_{};
 };
 
 }  // namespace gorsetrail::routing
--- a/src/routing/placement_rule.h
+++ b/src/routing/placement_rule.h
@@ -1,4 +1,4 @@
-/// \file Rules that keep requests away from a replica, whatever the other replicas are like.
+/// \file Interface of rules that exclude a replica from a request regardless of other replicas.
 #pragma once
 
 #include <cstdint>
@@ -11,26 +11,26 @@
 
 namespace gorsetrail::routing {
 
-/// Why a replica must not get a request now.
-enum class PlacementBar : std::uint8_t {
-  Leaving,            ///< It drains or is gone.
-  ZoneEvacuated,      ///< Operators have its zone evacuated.
-  EvacuationUnknown,  ///< This node has not read yet which zones are evacuated.
-  ColdRateSpent,      ///< It is cold, and this node's part of its rate is used up.
-  RegionNotAllowed,   ///< The request may not leave its regions.
+/// Why a replica is excluded from a request.
+enum class ExclusionReason : std::uint8_t {
+  Leaving,            ///< The replica is draining or was removed.
+  ZoneEvacuated,      ///< The replica's zone is evacuated.
+  EvacuationUnknown,  ///< This node has not yet read which zones are evacuated.
+  ColdRateExhausted,  ///< The replica is cold, and this node's share of its rate limit is used up.
+  RegionNotAllowed,   ///< The replica is outside the regions that the request is limited to.
 };
 
 /// \return a stable snake_case name for log lines and refusals.
-[[nodiscard]] std::string_view placementBarName(PlacementBar bar);
+[[nodiscard]] std::string_view placementBarName(ExclusionReason bar);
 
-/// What rules may look at besides the replica.
+/// Properties of a request that rules take into account.
 struct PlacementSubject {
   /// Regions that may serve the request; null: any.
   const RegionSet* allowedRegions = nullptr;
 };
 
-/// One reason to keep a request away from a replica. Every way of a request to a replica asks the
-/// same rules: first choice, retry, and resuming a stream where it ran. Decides without I/O.
+/// A condition that excludes replicas from requests. All ways of sending a request apply the same
+/// rules: first choice, retry, and resuming a stream. Implementations do no I/O.
 class PlacementRule {
  public:
   PlacementRule() = default;
@@ -38,22 +38,22 @@
   PlacementRule(const PlacementRule&) = delete;
   PlacementRule& operator=(const PlacementRule&) = delete;
 
-  /// \return why the replica must not get the request; nothing when this rule allows it.
-  [[nodiscard]] virtual std::optional<PlacementBar> barOf(const Replica& replica,
-                                                          const PlacementSubject& subject,
-                                                          Instant now) const = 0;
-  /// The request was sent to the replica: rules that count requests count this one.
+  /// \return why the replica is excluded; empty if this rule allows it.
+  [[nodiscard]] virtual std::optional<ExclusionReason> barOf(const Replica& replica,
+                                                             const PlacementSubject& subject,
+                                                             Instant now) const = 0;
+  /// Called for each request sent to the replica, so that rules can count requests.
   virtual void onSent(const Replica& /*replica*/, Instant /*now*/) {}
-  /// \return by what this rule allows the replica a request where it counts them, for a log line;
-  /// empty: it does not limit the replica now. To be asked before `onSent`.
+  /// \return the name of the rate limit that admits a request to the replica, for a log line;
+  /// empty if this rule does not limit the replica now. Call it before `onSent`.
   [[nodiscard]] virtual std::string_view grantNameOf(const Replica& /*replica*/,
                                                      Instant /*now*/) const {
     return {};
   }
-  /// A placement left the replica out because of this rule; once a placement and replica.
-  virtual void onPassedOver(const Replica& /*replica*/) {}
-  /// \return when it is worth asking again where only this rule kept a request from being placed.
-  [[nodiscard]] virtual Duration retryAfter(PlacementBar bar) const = 0;
+  /// Called once per placement for each replica that this rule excluded.
+  virtual void onExcluded(const Replica& /*replica*/) {}
+  /// \return the retry delay to tell the client if only this rule prevented the placement.
+  [[nodiscard]] virtual Duration retryAfter(ExclusionReason bar) const = 0;
 };
 
 }  // namespace gorsetrail::routing
--- a/src/routing/region_policy.cpp
+++ b/src/routing/region_policy.cpp
@@ -9,7 +9,7 @@
 namespace gorsetrail::routing {
 namespace {
 
-/// \return the error for a limit with a region that the deployment does not have.
+/// \return an error if the limit names a region that the deployment does not have.
 std::optional<Error> unknownRegion(const std::string& owner, const RegionSet& regions,
                                    const ZoneTable& zones) {
   for (const std::string& region : regions) {
@@ -39,7 +39,7 @@
   const auto add = [&](const std::string& route, const std::string& tenant,
                        const RegionSet& regions) {
     const bool isEverywhere = regions == zones.regions();
-    // Of two routes with one host and path the first gets the requests.
+    // Among routes with the same host and path, the first one receives the requests.
     policy.places_.try_emplace({route, tenant},
                                AllowedPlaces{regions, isEverywhere ? std::vector<std::string>()
                                                                    : zones.zonesOf(regions, zone)});
--- a/src/routing/region_policy.h
+++ b/src/routing/region_policy.h
@@ -1,4 +1,4 @@
-/// \file Where each request of a configuration may be served, cached and stored. No I/O, no clock.
+/// \file Regions in which each request may be served, cached and stored. No I/O, no clock.
 #pragma once
 
 #include <map>
@@ -14,39 +14,39 @@
 
 namespace gorsetrail::routing {
 
-/// The places that a limited request may come to.
+/// Regions and zones to which a request is limited.
 struct AllowedPlaces {
-  /// Empty where the route and the tenant allow no region in common: it can be served nowhere.
+  /// Empty if the route and the tenant have no allowed region in common: no replica may serve it.
   RegionSet regions;
-  /// Zones whose nodes may hold its text, nearest to this node first; empty where all may.
+  /// Zones whose nodes may store the request's text, nearest to this node first; empty: all zones.
   std::vector<std::string> zones;
 };
 
-/// The allowed regions of one configuration, worked out once when it is read; immutable. Both
-/// limits bind where the route and the tenant have one.
+/// The allowed regions of one configuration; immutable. A request must satisfy the limits of both
+/// its route and its tenant.
 class RegionPolicy {
  public:
-  /// \param zone this node's own.
-  /// Errors: `InvalidBundle` when a route or a tenant names a region that the deployment does not
-  /// have. Such a configuration is refused whole: leaving the name out could leave an empty list,
-  /// which allows every region.
+  /// \param zone of this node.
+  /// Errors: `InvalidBundle` if a route or a tenant names an unknown region. The whole
+  /// configuration is rejected, because dropping the name could leave an empty list, which allows
+  /// every region.
   static Result<RegionPolicy> make(const Configuration& configuration, const ZoneTable& zones,
                                    std::string_view zone);
 
-  /// \return where a request may go; null: anywhere. It lives as long as the policy.
+  /// \return the limits of a request; null: none. Valid as long as the policy exists.
   [[nodiscard]] const AllowedPlaces* placesOf(const Route& route,
                                               const tenant::Tenant* tenant) const;
-  /// \return the regions that a host's limited routes allow, all together; null where none of its
-  /// routes has a limit. It lives as long as the policy.
+  /// \return the union of the regions allowed by the host's limited routes; null if none of its
+  /// routes is limited. Valid as long as the policy exists.
   [[nodiscard]] const RegionSet* regionsOfHost(std::string_view host) const;
 
  private:
   RegionPolicy() = default;
   void addHost(const Route& route);
 
-  /// By the route's host and path, and the tenant; either of them empty where it sets no limit.
+  /// Keyed by route (host and path) and tenant; each part is empty if it sets no limit.
   std::map<std::pair<std::string, std::string>, AllowedPlaces> places_;
-  /// For a limit that the policy was not made with: rather nothing than everything.
+  /// Returned for unknown routes and tenants with a limit: excludes all replicas.
   AllowedPlaces nowhere_;
   std::map<std::string, RegionSet, std::less<>> byHost_;
 };
--- a/src/routing/region_rule.cpp
+++ b/src/routing/region_rule.cpp
@@ -2,16 +2,16 @@
 
 namespace gorsetrail::routing {
 
-std::optional<PlacementBar> RegionRule::barOf(const Replica& replica,
-                                              const PlacementSubject& subject,
-                                              Instant /*now*/) const {
+std::optional<ExclusionReason> RegionRule::barOf(const Replica& replica,
+                                                 const PlacementSubject& subject,
+                                                 Instant /*now*/) const {
   if (subject.allowedRegions == nullptr ||
       zones_.isIn(replica.entry.zone, *subject.allowedRegions)) {
     return std::nullopt;
   }
-  return PlacementBar::RegionNotAllowed;
+  return ExclusionReason::RegionNotAllowed;
 }
 
-Duration RegionRule::retryAfter(PlacementBar /*bar*/) const { return knobs_.retryAfter; }
+Duration RegionRule::retryAfter(ExclusionReason /*bar*/) const { return knobs_.retryAfter; }
 
 }  // namespace gorsetrail::routing
--- a/src/routing/region_rule.h
+++ b/src/routing/region_rule.h
@@ -1,4 +1,4 @@
-/// \file Keeps requests from replicas outside the regions that may serve them. No I/O, no clock.
+/// \file Excludes replicas outside a request's allowed regions. No I/O, no clock.
 #pragma once
 
 #include "routing/locality.h"
@@ -6,23 +6,22 @@
 
 namespace gorsetrail::routing {
 
-/// Knobs of `RegionRule`.
+/// Settings of `RegionRule`.
 struct RegionRuleKnobs {
-  /// Where no replica of the allowed regions is left: one that was replaced is back within
-  /// seconds. A rule of thumb.
+  /// Used if the allowed regions have no replica; a replacement usually starts within seconds.
   Duration retryAfter = milliseconds(1000);
 };
 
-/// A replica whose zone is in no region that this node knows counts as outside.
+/// Excludes replicas outside the allowed regions, including those in a zone without known region.
 class RegionRule final : public PlacementRule {
  public:
   /// \param zones outlives this object.
   RegionRule(const ZoneTable& zones, RegionRuleKnobs knobs) : zones_(zones), knobs_(knobs) {}
 
-  [[nodiscard]] std::optional<PlacementBar> barOf(const Replica& replica,
-                                                  const PlacementSubject& subject,
-                                                  Instant now) const override;
-  [[nodiscard]] Duration retryAfter(PlacementBar bar) const override;
+  [[nodiscard]] std::optional<ExclusionReason> barOf(const Replica& replica,
+                                                     const PlacementSubject& subject,
+                                                     Instant now) const override;
+  [[nodiscard]] Duration retryAfter(ExclusionReason bar) const override;
 
  private:
   const ZoneTable& zones_;
--- a/src/routing/replica_life.cpp
+++ b/src/routing/replica_life.cpp
@@ -8,22 +8,23 @@
 
 namespace gorsetrail::routing {
 
-LifeOrder lifeOrderOf(std::optional<ReplicaStart> known, std::optional<ReplicaStart> told) {
-  if (!known || !told || *known == *told) {
-    return LifeOrder::Same;
+IncarnationOrder compareIncarnations(std::optional<ReplicaStart> known,
+                                     std::optional<ReplicaStart> reported) {
+  if (!known || !reported || *known == *reported) {
+    return IncarnationOrder::Same;
   }
-  return *known < *told ? LifeOrder::Later : LifeOrder::Earlier;
+  return *known < *reported ? IncarnationOrder::Later : IncarnationOrder::Earlier;
 }
 
 bool isPlausible(ReplicaStart start, std::uint64_t unixMilliseconds) {
-  constexpr auto kLead = std::chrono::duration_cast<std::chrono::milliseconds>(kLongestClockLead);
-  return start.value() <= unixMilliseconds + static_cast<std::uint64_t>(kLead.count());
+  constexpr auto kMaxLeadMs = std::chrono::duration_cast<std::chrono::milliseconds>(kMaxClockLead);
+  return start.value() <= unixMilliseconds + static_cast<std::uint64_t>(kMaxLeadMs.count());
 }
 
 Instant lifeBeganAt(ReplicaStart start, std::uint64_t unixMilliseconds, Instant now) {
-  // A start in the future is a clock that runs ahead.
-  const std::uint64_t age = unixMilliseconds - std::min(unixMilliseconds, start.value());
-  return now - milliseconds(static_cast<Duration::rep>(age)) - kClockTolerance;
+  // A start in the future means that the replica's clock is ahead; its age is then zero.
+  const std::uint64_t ageMs = unixMilliseconds - std::min(unixMilliseconds, start.value());
+  return now - milliseconds(static_cast<Duration::rep>(ageMs)) - kMaxClockSkew;
 }
 
 ReplicaPtr lifeAt(ReplicaPtr replica, Instant sentAt) {
@@ -33,17 +34,17 @@
   return replica;
 }
 
-void DepartedReplicas::remember(const std::string& id, Departed departed) {
-  forget(id);
-  byId_.emplace(id, std::move(departed));
+void DepartedReplicas::insert(const std::string& id, Departed entry) {
+  remove(id);
+  byId_.emplace(id, std::move(entry));
   oldestFirst_.push_back(id);
-  if (oldestFirst_.size() > kMostDeparted) {
+  if (oldestFirst_.size() > kMaxDeparted) {
     byId_.erase(oldestFirst_.front());
     oldestFirst_.pop_front();
   }
 }
 
-void DepartedReplicas::forget(std::string_view id) {
+void DepartedReplicas::remove(std::string_view id) {
   const auto found = byId_.find(id);
   if (found != byId_.end()) {
     std::erase(oldestFirst_, found->first);
--- a/src/routing/replica_life.h
+++ b/src/routing/replica_life.h
@@ -1,4 +1,4 @@
-/// \file The life of a replica: its id and the start of its process. No I/O, no clock.
+/// \file Incarnations of replicas: an id and the start time of its process. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -17,67 +17,66 @@
 
 struct Replica;
 
-/// When a replica's process started, in Unix milliseconds by the replica's own clock. It tells the
-/// lives of one id apart: a later start holds nothing of an earlier one.
+/// Start of a replica's process, in Unix milliseconds by the replica's clock. Identifies the
+/// incarnation of an id; no state carries over to a later incarnation.
 using ReplicaStart = StrongId<struct ReplicaStartTag, std::uint64_t>;
 
-/// How the start that an entry tells stands to the one that is known of its id.
-enum class LifeOrder : std::uint8_t {
-  Same,     ///< Also where one of them is not told: without a start an id has one life.
-  Later,    ///< The process has started again.
-  Earlier,  ///< The entry was written before the process started again.
+/// Order of a reported incarnation relative to the known one of the same id.
+enum class IncarnationOrder : std::uint8_t {
+  Same,     ///< Also if either start is unknown: an id without a start has one incarnation.
+  Later,    ///< The process has restarted.
+  Earlier,  ///< The entry was written before the process restarted.
 };
-[[nodiscard]] LifeOrder lifeOrderOf(std::optional<ReplicaStart> known,
-                                    std::optional<ReplicaStart> told);
+[[nodiscard]] IncarnationOrder compareIncarnations(std::optional<ReplicaStart> known,
+                                                   std::optional<ReplicaStart> reported);
 
-/// How far the clocks of a node and a replica may differ. NTP keeps machines of one network well
-/// within this. Where they differ by more, a request that was sent to the new process counts as one
-/// of the old: its outcome is unknown, or it runs once more if it may.
-inline constexpr Duration kClockTolerance = milliseconds(100);
+/// Clock skew between a node and a replica that is tolerated. With more skew, a request sent to the
+/// new process may be attributed to the old one: its outcome is then unknown, or it runs again if
+/// the route allows that.
+inline constexpr Duration kMaxClockSkew = milliseconds(100);
 
-/// A start that lies further ahead of a node's time of day is an error of its writer: taken at its
-/// word, one such entry would make every true one of its id an outdated one. Machines whose clocks
-/// are not set differ by seconds a day; more than this is rare.
-inline constexpr Duration kLongestClockLead = seconds(60);
+/// A start further ahead of this node's clock is rejected. If it were accepted, all later entries
+/// with a correct start would count as outdated.
+inline constexpr Duration kMaxClockLead = seconds(60);
 
-/// \param unixMilliseconds the time of day, by this node.
+/// \param unixMilliseconds this node's wall-clock time.
 [[nodiscard]] bool isPlausible(ReplicaStart start, std::uint64_t unixMilliseconds);
 
-/// \param unixMilliseconds the time of day at `now`, by this node.
-/// \return by this node's clock, from when on requests reached the process that started then.
+/// \param unixMilliseconds this node's wall-clock time at `now`.
+/// \return the time by this node's clock from which requests reached the process with that start.
 [[nodiscard]] Instant lifeBeganAt(ReplicaStart start, std::uint64_t unixMilliseconds, Instant now);
 
-/// How a life ended.
+/// End of an incarnation.
 struct LifeEnd {
-  Instant nextBeganAt;            ///< Requests sent from then on reached the next life.
-  std::shared_ptr<Replica> next;  ///< The same id, started again.
+  Instant nextBeganAt;            ///< Requests sent from then on reached the next incarnation.
+  std::shared_ptr<Replica> next;  ///< The next incarnation of the same id.
 };
 
-/// \return the life that a request ran at which was sent at that moment: the replica itself, or a
-/// later life where its process had started again without this node knowing.
+/// \return the incarnation that received a request sent at `sentAt`: the replica itself, or a later
+/// one if the process had restarted before this node learned of it.
 [[nodiscard]] std::shared_ptr<Replica> lifeAt(std::shared_ptr<Replica> replica, Instant sentAt);
 
-/// Starts of ids that are registered no longer, so that a late entry does not bring an ended life
-/// back. The oldest are forgotten.
+/// Process starts of ids that are no longer registered, so that a late entry does not restore an
+/// ended incarnation. Drops the oldest entries when full.
 class DepartedReplicas {
  public:
-  /// Requests may still run there.
+  /// A deregistered replica; its requests may still be running.
   struct Departed {
     ReplicaStart startedAt;
     std::weak_ptr<Replica> replica;
   };
-  /// Some rolling restarts of a fleet of 300 replicas; about 100 bytes each.
-  static constexpr std::size_t kMostDeparted = 1024;
+  /// Covers several rolling restarts of a fleet of 300 replicas, at about 100 bytes per entry.
+  static constexpr std::size_t kMaxDeparted = 1024;
 
-  void remember(const std::string& id, Departed departed);
-  void forget(std::string_view id);
-  /// \return what is known of the id; null: nothing.
+  void insert(const std::string& id, Departed entry);
+  void remove(std::string_view id);
+  /// \return the entry of the id; null if there is none.
   [[nodiscard]] const Departed* find(std::string_view id) const;
   [[nodiscard]] std::size_t size() const { return byId_.size(); }
 
  private:
   std::map<std::string, Departed, std::less<>> byId_;
-  std::deque<std::string> oldestFirst_;  ///< The ids of `byId_`.
+  std::deque<std::string> oldestFirst_;  ///< The ids in `byId_`.
 };
 
 }  // namespace gorsetrail::routing
--- a/src/routing/replica_placement.cpp
+++ b/src/routing/replica_placement.cpp
@@ -19,17 +19,17 @@
 
 }  // namespace
 
-std::string_view placementBarName(PlacementBar bar) {
+std::string_view placementBarName(ExclusionReason bar) {
   switch (bar) {
-    case PlacementBar::Leaving:
+    case ExclusionReason::Leaving:
       return "replicas_leaving";
-    case PlacementBar::ZoneEvacuated:
+    case ExclusionReason::ZoneEvacuated:
       return "zones_evacuated";
-    case PlacementBar::EvacuationUnknown:
+    case ExclusionReason::EvacuationUnknown:
       return "evacuations_unknown";
-    case PlacementBar::ColdRateSpent:
+    case ExclusionReason::ColdRateExhausted:
       return "replicas_cold";
-    case PlacementBar::RegionNotAllowed:
+    case ExclusionReason::RegionNotAllowed:
       break;
   }
   return "region_not_allowed";
@@ -40,31 +40,30 @@
                                    std::vector<PlacementRule*> rules)
     : replicas_(replicas), selector_(selector), admission_(admission), rules_(std::move(rules)) {}
 
-std::optional<ReplicaPlacement::Barred> ReplicaPlacement::barred(const Replica& replica,
-                                                                 const PlacementSubject& subject,
-                                                                 Instant now) const {
-  if (!replica.takesWork()) {
-    return Barred{PlacementBar::Leaving, nullptr};
+std::optional<ReplicaPlacement::Exclusion> ReplicaPlacement::findExclusion(
+    const Replica& replica, const PlacementSubject& subject, Instant now) const {
+  if (!replica.acceptsRequests()) {
+    return Exclusion{ExclusionReason::Leaving, nullptr};
   }
   for (PlacementRule* const rule : rules_) {
     if (const auto bar = rule->barOf(replica, subject, now)) {
-      return Barred{*bar, rule};
+      return Exclusion{*bar, rule};
     }
   }
   return std::nullopt;
 }
 
-std::optional<PlacementBar> ReplicaPlacement::barOf(const Replica& replica,
-                                                    const PlacementSubject& subject,
-                                                    Instant now) const {
-  const std::optional<Barred> found = barred(replica, subject, now);
+std::optional<ExclusionReason> ReplicaPlacement::barOf(const Replica& replica,
+                                                       const PlacementSubject& subject,
+                                                       Instant now) const {
+  const std::optional<Exclusion> found = findExclusion(replica, subject, now);
   return found ? std::optional(found->bar) : std::nullopt;
 }
 
 ReplicaPtr ReplicaPlacement::witnessFor(const Replica& replica) const {
   ReplicaPtr witness;
   for (const ReplicaPtr& other : replicas_.all()) {
-    const bool isOther = other->entry.address != replica.entry.address && other->takesWork();
+    const bool isOther = other->entry.address != replica.entry.address && other->acceptsRequests();
     if (isOther && (!witness || other->heardAt > witness->heardAt)) {
       witness = other;
     }
@@ -83,17 +82,17 @@
   return grant;
 }
 
-NoReplica ReplicaPlacement::whyNone(const std::vector<Barred>& passedOver) {
-  std::map<PlacementBar, std::size_t> counts;
+NoReplica ReplicaPlacement::noReplicaFor(const std::vector<Exclusion>& exclusions) {
+  std::map<ExclusionReason, std::size_t> counts;
   NoReplica result;
   std::size_t most = 0;
-  for (const Barred& found : passedOver) {
+  for (const Exclusion& found : exclusions) {
     if (found.rule == nullptr) {
       continue;
     }
-    // Replicas elsewhere could not serve the request in any case: they are the reason only where
-    // nothing keeps back those that could.
-    const bool isElsewhere = found.bar == PlacementBar::RegionNotAllowed;
+    // Replicas outside the allowed regions can never serve the request, so they are reported only
+    // if no other rule excluded a replica.
+    const bool isElsewhere = found.bar == ExclusionReason::RegionNotAllowed;
     const std::size_t count = isElsewhere ? 1 : 1 + ++counts[found.bar];
     if (count > most) {
       most = count;
@@ -105,52 +104,54 @@
 }
 
 Placement ReplicaPlacement::place(const PlacementQuery& query, Instant now) const {
-  std::vector<Barred> passedOver;
+  std::vector<Exclusion> exclusions;
   std::vector<const Replica*> allowed;
-  const auto mayGet = [&](const Replica& replica) {
-    const std::optional<Barred> found = barred(replica, query.subject, now);
+  const auto isEligible = [&](const Replica& replica) {
+    const std::optional<Exclusion> found = findExclusion(replica, query.subject, now);
     if (!found) {
       allowed.push_back(&replica);
       return true;
     }
     if (found->rule != nullptr) {
-      found->rule->onPassedOver(replica);
+      found->rule->onExcluded(replica);
     }
-    passedOver.push_back(*found);
+    exclusions.push_back(*found);
     return false;
   };
-  const ReplicaPtr cheapest = selector_.choose(replicas_, query.replica, mayGet, now);
+  const ReplicaPtr cheapest = selector_.choose(replicas_, query.replica, isEligible, now);
   if (!cheapest) {
-    return whyNone(passedOver);
+    return noReplicaFor(exclusions);
   }
   if (!query.admission || admission_.admits(*cheapest, *query.admission)) {
     return Placed{cheapest};
   }
-  if (const ReplicaPtr other = placeElsewhere(query, allowed, now)) {
+  if (const ReplicaPtr other = chooseOverflowReplica(query, allowed, now)) {
     return Placed{other};
   }
   return PlacesTaken{cheapest, leastLoadPerSlotOf(allowed)};
 }
 
-// Reading a long prompt anew costs more than any queue, so the replica that holds it stays the
-// cheapest however full it is, for as long as it is full. The key stays: of the others it prefers
-// the same one each time, which then holds the prompt, and programs spread over all of them.
-ReplicaPtr ReplicaPlacement::placeElsewhere(const PlacementQuery& query,
-                                            const std::vector<const Replica*>& allowed,
-                                            Instant now) const {
-  std::vector<const Replica*> sound;
-  std::copy_if(allowed.begin(), allowed.end(), std::back_inserter(sound),
-               [now](const Replica* replica) { return replica->isSound(now); });
-  const bool toSpare = admission_.hasSpareRoom(sound);
-  const bool toAny = admission_.goesAnywhere(*query.admission);
+// Processing a long prompt again costs more than any queue, so the replica that cached it remains
+// the cheapest even if it is full. The affinity key also selects the overflow replica, so that a
+// program returns to the same one, which then has its prompt, and programs spread over all
+// candidates.
+ReplicaPtr ReplicaPlacement::chooseOverflowReplica(const PlacementQuery& query,
+                                                   const std::vector<const Replica*>& allowed,
+                                                   Instant now) const {
+  std::vector<const Replica*> healthy;
+  std::copy_if(allowed.begin(), allowed.end(), std::back_inserter(healthy),
+               [now](const Replica* replica) { return replica->isHealthy(now); });
+  const bool toSpare = admission_.hasSpareCapacity(healthy);
+  const bool toAny = admission_.mayOverflow(*query.admission);
   if (!toSpare && !toAny) {
     return nullptr;
   }
-  const auto takes = [&](const Replica& replica) {
-    const bool hasRoom = toAny ? admission_.admitsFirstTurns(replica) : admission_.isSpare(replica);
-    return hasRoom && std::find(sound.begin(), sound.end(), &replica) != sound.end();
+  const auto isOverflowTarget = [&](const Replica& replica) {
+    const bool hasRoom =
+        toAny ? admission_.admitsFirstTurns(replica) : admission_.isLightlyLoaded(replica);
+    return hasRoom && std::find(healthy.begin(), healthy.end(), &replica) != healthy.end();
   };
-  return selector_.choose(replicas_, query.replica, takes, now);
+  return selector_.choose(replicas_, query.replica, isOverflowTarget, now);
 }
 
 }  // namespace gorsetrail::routing
--- a/src/routing/replica_placement.h
+++ b/src/routing/replica_placement.h
@@ -1,4 +1,4 @@
-/// \file The one step by which a request comes to a replica. Policy only: no I/O, no clock.
+/// \file Placement of a request on a replica. Policy only: no I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -15,70 +15,71 @@
 
 namespace gorsetrail::routing {
 
-/// What a placement depends on besides the tables.
+/// Inputs of a placement besides the replica table.
 struct PlacementQuery {
   ReplicaQuery replica;
   PlacementSubject subject;
-  /// Unset: the request is placed however full the replicas are, since it has begun somewhere.
+  /// Unset: admission control is skipped, since the request has already started somewhere.
   std::optional<AdmissionRequest> admission;
 };
 
-/// The request goes to this replica.
+/// A replica was chosen.
 struct Placed {
   ReplicaPtr replica;
 };
 
-/// Replicas are there, but admission keeps this work away from them.
+/// Replicas are available, but admission control refused the request.
 struct PlacesTaken {
-  ReplicaPtr judged;            ///< The replica that admission was asked about.
-  double leastLoadPerSlot = 0;  ///< Of all replicas that the rules allow.
+  ReplicaPtr judged;            ///< The cheapest replica, which did not admit the request.
+  double leastLoadPerSlot = 0;  ///< Minimum over all replicas that the rules allow.
 };
 
-/// No replica may get the request.
+/// The rules exclude all replicas, or there are none.
 struct NoReplica {
-  /// The rule that kept most replicas back, where a rule did.
-  std::optional<PlacementBar> bar;
-  /// As that rule says; zero: no rule kept it back.
+  /// The reason that excluded most replicas; unset if no rule excluded any.
+  std::optional<ExclusionReason> bar;
+  /// Retry delay of that rule; zero if no rule excluded a replica.
   Duration retryAfter = Duration::zero();
 };
 
 using Placement = std::variant<Placed, PlacesTaken, NoReplica>;
 
-/// Chooses replicas under the placement rules. Ownership: rules, table, selector and admission
-/// outlive this object.
+/// Chooses replicas subject to placement rules and admission control. The constructor's arguments
+/// must outlive this object.
 class ReplicaPlacement {
  public:
   ReplicaPlacement(const ReplicaTable& replicas, const ReplicaSelector& selector,
                    const AdmissionPolicy& admission, std::vector<PlacementRule*> rules);
 
-  /// Asks the rules once for each replica, and tells the rule that keeps one back.
+  /// Evaluates the rules once per replica and notifies each rule that excludes one.
   [[nodiscard]] Placement place(const PlacementQuery& query, Instant now) const;
-  /// \return why the request must not go to this very replica; for streams that go on where they
-  /// ran.
-  [[nodiscard]] std::optional<PlacementBar> barOf(const Replica& replica,
-                                                  const PlacementSubject& subject,
-                                                  Instant now) const;
-  /// \return the replica, of whatever service, that this node heard last, this one left out; null:
-  /// there is no other. Whether it can be reached tells of this node's own link.
+  /// \return why the request must not go to this replica; empty if it may. Used to resume a stream
+  /// at the replica where it ran.
+  [[nodiscard]] std::optional<ExclusionReason> barOf(const Replica& replica,
+                                                     const PlacementSubject& subject,
+                                                     Instant now) const;
+  /// \return another replica, of any service, from which this node heard most recently; null if
+  /// there is none. If it cannot be reached either, this node's own network link has failed.
   [[nodiscard]] ReplicaPtr witnessFor(const Replica& replica) const;
-  /// To be told of each request that is sent to a replica, whatever way it came there.
-  /// \return by what a rule allowed it that counts requests, for a log line; empty: none does.
+  /// Must be called for each request that is sent to a replica, including retries and resumed
+  /// streams. \return the name of the rate limit that admitted it, for a log line; empty: none.
   std::string_view onSent(const Replica& replica, Instant now);
 
  private:
-  /// A rule and the reason it gives.
-  struct Barred {
-    PlacementBar bar = PlacementBar::Leaving;
-    PlacementRule* rule = nullptr;  ///< Null: the replica's own state.
+  /// An exclusion and the rule that caused it.
+  struct Exclusion {
+    ExclusionReason bar = ExclusionReason::Leaving;
+    PlacementRule* rule = nullptr;  ///< Null: the replica itself is draining or was removed.
   };
-  [[nodiscard]] std::optional<Barred> barred(const Replica& replica,
-                                             const PlacementSubject& subject, Instant now) const;
-  /// \param allowed by the rules. \return where work goes that the cheapest replica does not admit;
-  /// null: nowhere.
-  [[nodiscard]] ReplicaPtr placeElsewhere(const PlacementQuery& query,
-                                          const std::vector<const Replica*>& allowed,
-                                          Instant now) const;
-  [[nodiscard]] static NoReplica whyNone(const std::vector<Barred>& passedOver);
+  [[nodiscard]] std::optional<Exclusion> findExclusion(const Replica& replica,
+                                                       const PlacementSubject& subject,
+                                                       Instant now) const;
+  /// \param allowed replicas that the rules allow. \return a replica for a request that the
+  /// cheapest replica did not admit; null if there is none.
+  [[nodiscard]] ReplicaPtr chooseOverflowReplica(const PlacementQuery& query,
+                                                 const std::vector<const Replica*>& allowed,
+                                                 Instant now) const;
+  [[nodiscard]] static NoReplica noReplicaFor(const std::vector<Exclusion>& exclusions);
 
   const ReplicaTable& replicas_;
   const ReplicaSelector& selector_;
--- a/src/routing/replica_selector.cpp
+++ b/src/routing/replica_selector.cpp
@@ -9,7 +9,7 @@
 namespace gorsetrail::routing {
 namespace {
 
-/// An answer that took this many times the usual counts as that much more load, at most.
+/// Upper bound of the factor by which a slow replica's load is scaled.
 constexpr double kMaximumSlowness = 8.0;
 
 std::uint64_t rendezvousWeightOf(std::string_view key, std::string_view replicaId) {
@@ -22,7 +22,7 @@
          std::find(query.tried->begin(), query.tried->end(), replica) != query.tried->end();
 }
 
-/// \return the middle of the replicas' smoothed answer times; 0 when none has answered.
+/// \return the median of the replicas' smoothed response times; 0 if none has responded.
 double medianAnswerTime(const std::vector<ReplicaPtr>& replicas) {
   std::vector<double> times;
   for (const ReplicaPtr& replica : replicas) {
@@ -38,19 +38,18 @@
   return *middle;
 }
 
-double slownessOf(const Replica& replica, double usualMilliseconds, double slowFrom) {
+double slownessOf(const Replica& replica, double usualMilliseconds, double slownessThreshold) {
   if (usualMilliseconds <= 0) {
     return 1.0;
   }
   const double ratio = replica.answerMilliseconds / usualMilliseconds;
-  return ratio < slowFrom ? 1.0 : std::min(ratio, kMaximumSlowness);
+  return ratio < slownessThreshold ? 1.0 : std::min(ratio, kMaximumSlowness);
 }
 
 }  // namespace
 
-// Where there are several regions and the own zone has no replica for the request, prompts gather
-// at one of the nearest region that has: requests that are kept to other regions always come to
-// this.
+// With several regions, falls back to the nearest region that has eligible replicas, so that
+// prompts are also cached for requests that are limited to other regions.
 const Replica* ReplicaSelector::preferredReplica(const std::vector<ReplicaPtr>& allowed,
                                                  std::string_view key) const {
   const bool looksFurther = zones_ != nullptr && zones_->hasSeveralRegions();
@@ -87,10 +86,11 @@
   const double slots = std::max(1U, replica.entry.slots);
   const double load = replica.load();
   const double waiting = std::max(0.0, load + 1.0 - slots);
-  double cost = (knobs_.baseCost + load) * slownessOf(replica, usualMilliseconds, knobs_.slowFrom);
-  cost += waiting * knobs_.waitingCost;
+  double cost =
+      (knobs_.baseCost + load) * slownessOf(replica, usualMilliseconds, knobs_.slownessThreshold);
+  cost += waiting * knobs_.queueingCost;
   if (!preferred) {
-    cost += knobs_.otherReplicaCost +
+    cost += knobs_.nonPreferredCost +
             knobs_.costPerPromptToken * static_cast<double>(query.promptTokens);
   }
   const Distance distance = distanceTo(replica);
@@ -99,20 +99,20 @@
   const bool needsConnection = query.isConnected && !query.isConnected(replica);
   cost += needsConnection ? knobs_.newConnectionCost : 0.0;
   cost += replica.failureShare(now) * knobs_.failureCost;
-  cost += replica.doubtfulUntil ? knobs_.doubtfulCost : 0.0;
+  cost += replica.graceUntil ? knobs_.lapsedCost : 0.0;
   cost += replica.suspectUntil > now ? knobs_.suspectCost : 0.0;
-  cost += replica.fullUntil > now ? knobs_.fullCost : 0.0;
+  cost += replica.fullUntil > now ? knobs_.atCapacityCost : 0.0;
   return cost;
 }
 
 ReplicaPtr ReplicaSelector::choose(const ReplicaTable& table, const ReplicaQuery& query,
-                                   const MayGet& mayGet, Instant now) const {
+                                   const EligibilityFilter& isEligible, Instant now) const {
   const std::vector<ReplicaPtr>& replicas = table.ofService(query.service);
-  // Each replica is asked for once: both steps below go by the same answers.
+  // `isEligible` has side effects, so it is called once per replica; both steps use its results.
   std::vector<ReplicaPtr> allowed;
   allowed.reserve(replicas.size());
   std::copy_if(replicas.begin(), replicas.end(), std::back_inserter(allowed),
-               [&](const ReplicaPtr& replica) { return mayGet(*replica); });
+               [&](const ReplicaPtr& replica) { return isEligible(*replica); });
   const Replica* const preferred = preferredReplica(allowed, query.affinityKey);
   const double usualMilliseconds = medianAnswerTime(replicas);
   ReplicaPtr chosen;
--- a/src/routing/replica_selector.h
+++ b/src/routing/replica_selector.h
@@ -1,4 +1,4 @@
-/// \file Choice of the replica that a request is sent to. Policy only: no I/O, no clock.
+/// \file Selection of the replica for a request by cost. Policy only: no I/O, no clock.
 #pragma once
 
 #include <functional>
@@ -12,70 +12,69 @@
 
 namespace gorsetrail::routing {
 
-/// What a choice depends on besides the table.
+/// Inputs of a selection besides the replica table.
 struct ReplicaQuery {
   std::string_view service;
-  /// Requests of one key prefer one replica; every node prefers the same one.
+  /// Requests with the same key prefer the same replica at every node.
   std::string_view affinityKey;
-  /// Length of the prompt that the preferred replica may have read already; 0: nothing is kept.
+  /// Length of the prompt that the preferred replica may have cached; 0: nothing is cached.
   std::uint64_t promptTokens = 0;
-  const std::vector<ReplicaPtr>* tried = nullptr;  ///< Not chosen again.
-  /// \return whether this node has an idle connection to the replica; unset: not known.
+  const std::vector<ReplicaPtr>* tried = nullptr;  ///< Replicas that are not chosen again.
+  /// \return whether this node has an idle connection to the replica; unset: unknown.
   std::function<bool(const Replica&)> isConnected;
 };
 
-/// Knobs of the choice. Costs are in requests: what one more request in a replica's batch costs.
+/// Cost weights. The unit is the cost of one more request in a replica's batch.
 struct ReplicaSelectorKnobs {
-  /// What a request costs on an empty replica: a slow replica makes this part slower too.
+  /// Cost of a request on an idle replica; scaled by the replica's slowness.
   double baseCost = 20.0;
-  /// Reading a prompt again stops the whole batch: a batch step costs nearly the same for one
-  /// request as for all slots, so reading is what fills an engine.
+  /// Cost of processing the prompt where it is not cached: it stalls the whole batch, while one
+  /// more request in a batch step costs almost nothing.
   double costPerPromptToken = 0.008;
-  /// Only splits ties: each key prefers some replica.
-  double otherReplicaCost = 0.5;
-  /// Bytes between zones are priced, and the way is longer.
+  /// Small, so that it only breaks ties in favour of the key's preferred replica.
+  double nonPreferredCost = 0.5;
+  /// Covers the price and latency of traffic between zones.
   double otherZoneCost = 0.8;
-  /// Besides `otherZoneCost`: the round trip comes out of the program's time, and the bytes cost
-  /// several times those between zones. With 4, a sixth fewer bytes between regions than with 0 on
-  /// days with faults, at the same share served (8 ms between regions, mean of six plays each).
+  /// Added to `otherZoneCost`: traffic between regions costs several times as much and adds a
+  /// longer round trip.
   double otherRegionCost = 4.0;
-  /// Opening a connection is priced and takes a round trip. Less than two requests: between
-  /// replicas whose load differs by that much the emptier one is worth it.
+  /// Covers the price and round trip of a new connection. A replica that has fewer requests by at
+  /// least this many is preferred in spite of it.
   double newConnectionCost = 1.5;
-  /// For each request that would have to wait for a slot.
-  double waitingCost = 2.0;
-  /// Answers this many times slower than the middle one count as a slow replica.
-  double slowFrom = 2.0;
-  /// Times the share of its latest requests that failed, at all nodes: a replica that fails part of
-  /// its requests looks well between two failures.
+  /// Per request that would have to wait for a slot.
+  double queueingCost = 2.0;
+  /// A replica is slow if its response time is at least this many times the median.
+  double slownessThreshold = 2.0;
+  /// Multiplied by the fraction of recent requests, of all nodes, that failed, so that a replica
+  /// with intermittent failures is avoided between failures too.
   double failureCost = 80.0;
-  /// Chosen only when the others are overloaded.
+  /// High enough that a suspect replica is chosen only if the others are overloaded.
   double suspectCost = 1000.0;
-  /// Its registration lapsed: chosen only when there is no other.
-  double doubtfulCost = 10000.0;
-  /// It refused for want of room a moment ago.
-  double fullCost = 100.0;
+  /// High enough that a replica with a lapsed registration is chosen only if there is no other.
+  double lapsedCost = 10000.0;
+  /// The replica has just refused a request because it was at capacity.
+  double atCapacityCost = 100.0;
 };
 
-/// Chooses the cheapest replica: its load from all nodes, weighed by how slowly it answered lately,
-/// plus the costs above.
+/// Chooses the replica with the lowest cost: its load from all nodes scaled by its recent slowness,
+/// plus the costs in `ReplicaSelectorKnobs`.
 class ReplicaSelector {
  public:
-  /// \param zones outlives this object; null: there is one region.
+  /// \param zones outlives this object; null: all zones are in one region.
   ReplicaSelector(std::string zone, ReplicaSelectorKnobs knobs, const ZoneTable* zones = nullptr)
       : zone_(std::move(zone)), knobs_(knobs), zones_(zones) {}
 
-  /// Whether a replica may get the request at all.
-  using MayGet = std::function<bool(const Replica&)>;
+  /// \return whether a replica may receive the request.
+  using EligibilityFilter = std::function<bool(const Replica&)>;
 
-  /// Calls `mayGet` once for each of the service's replicas, in their order.
-  /// \return the replica, or null when none may get the request.
+  /// Calls `isEligible` exactly once for each replica of the service, in table order.
+  /// \return the cheapest eligible replica; null if there is none.
   [[nodiscard]] ReplicaPtr choose(const ReplicaTable& table, const ReplicaQuery& query,
-                                  const MayGet& mayGet, Instant now) const;
+                                  const EligibilityFilter& isEligible, Instant now) const;
 
  private:
-  /// \param allowed those that may get the request.
-  /// \return the replica that every node of the zone prefers for the key; null without a key.
+  /// \return the replica that every node of the zone prefers for the key, by rendezvous hashing
+  /// over the eligible replicas; null without a key.
   [[nodiscard]] const Replica* preferredReplica(const std::vector<ReplicaPtr>& allowed,
                                                 std::string_view key) const;
   [[nodiscard]] Distance distanceTo(const Replica& replica) const;
--- a/src/routing/replica_table.cpp
+++ b/src/routing/replica_table.cpp
@@ -17,17 +17,17 @@
 
 ReplicaChange ReplicaTable::upsert(ReplicaEntry entry, Instant beganAt) {
   const std::optional<ReplicaStart> known = knownStartOf(entry.id);
-  const LifeOrder order = lifeOrderOf(known, entry.startedAt);
-  if (order == LifeOrder::Earlier) {
+  const IncarnationOrder order = compareIncarnations(known, entry.startedAt);
+  if (order == IncarnationOrder::Earlier) {
     ++outdatedEntries_;
     return ReplicaChange::Outdated;
   }
-  if (order == LifeOrder::Later) {
+  if (order == IncarnationOrder::Later) {
     return startAgain(std::move(entry), beganAt);
   }
   const bool startUntold = known && !entry.startedAt;
   if (startUntold) {
-    entry.startedAt = known;  // Else an entry of an earlier life could bring that one back.
+    entry.startedAt = known;  // Otherwise a late entry could restore an earlier incarnation.
   }
   ReplicaPtr replica = find(entry.id);
   ReplicaChange change = ReplicaChange::None;
@@ -46,7 +46,7 @@
   replica->entry = std::move(entry);
   byService_[replica->entry.service].push_back(replica);
   byId_.emplace(replica->entry.id, replica);
-  departed_.forget(replica->entry.id);
+  departed_.remove(replica->entry.id);
   return replica;
 }
 
@@ -64,7 +64,7 @@
 }
 
 ReplicaChange ReplicaTable::update(const ReplicaPtr& replica, ReplicaEntry entry) {
-  replica->doubtfulUntil.reset();
+  replica->graceUntil.reset();
   const bool moved =
       replica->entry.address != entry.address || replica->entry.service != entry.service;
   if (moved) {
@@ -90,7 +90,7 @@
   const ReplicaPtr replica = found->second;
   replica->gone = true;
   if (replica->entry.startedAt) {
-    departed_.remember(replica->entry.id, {*replica->entry.startedAt, replica});
+    departed_.insert(replica->entry.id, {*replica->entry.startedAt, replica});
   }
   dropFromService(replica);
   byId_.erase(found);
@@ -102,18 +102,18 @@
   if (found == byId_.end() || found->second->entry.draining) {
     return remove(id);
   }
-  std::optional<Instant>& doubtfulUntil = found->second->doubtfulUntil;
-  if (doubtfulUntil) {
+  std::optional<Instant>& graceUntil = found->second->graceUntil;
+  if (graceUntil) {
     return ReplicaChange::None;
   }
-  doubtfulUntil = until;
+  graceUntil = until;
   return ReplicaChange::Doubted;
 }
 
 std::vector<std::string> ReplicaTable::dropDoubtful(Instant now) {
   std::vector<std::string> dropped;
   for (const auto& [id, replica] : byId_) {
-    if (replica->doubtfulUntil && *replica->doubtfulUntil <= now) {
+    if (replica->graceUntil && *replica->graceUntil <= now) {
       dropped.push_back(id);
     }
   }
@@ -124,8 +124,7 @@
 }
 
 std::vector<std::string> ReplicaTable::missingFrom(const std::vector<std::string>& ids) const {
-  // A search through all ids for each replica takes 10^8 comparisons for 10,000 replicas, seconds
-  // on a small node; this takes 5 ms.
+  // A hash set, because a linear search per replica takes seconds with 10,000 replicas.
   const std::unordered_set<std::string_view> listed(ids.begin(), ids.end());
   std::vector<std::string> missing;
   for (const auto& [id, replica] : byId_) {
--- a/src/routing/replica_table.h
+++ b/src/routing/replica_table.h
@@ -1,4 +1,4 @@
-/// \file What this node believes about the replicas of all services.
+/// \file This node's view of the replicas of all services.
 #pragma once
 
 #include <algorithm>
@@ -15,70 +15,69 @@
 
 namespace gorsetrail::routing {
 
-/// A replica as it registers itself. A restarted replica may have its earlier `id`.
+/// A replica's registration. A restarted replica may reuse its `id`.
 struct ReplicaEntry {
   std::string id;
-  std::optional<ReplicaStart> startedAt{};  ///< Unset: the replica does not tell it.
+  std::optional<ReplicaStart> startedAt{};  ///< Unset: the registration does not contain it.
   std::string service;
   std::string address;  ///< `ip:port`.
   std::string zone;
   std::uint32_t slots = 1;
   bool draining = false;
-  /// How much longer it said it is cold, as of its newest registration; zero: it is warm; unset: it
-  /// says nothing of it.
+  /// Remaining warm-up time as of the newest registration; zero: warm; unset: not reported.
   std::optional<Duration> coldFor = Duration::zero();
 };
 
-/// One failure may be chance.
-inline constexpr double kFewestFailures = 1.5;
+/// Minimum of recent failures for a nonzero failure rate: a single failure is not significant.
+inline constexpr double kMinFailures = 1.5;
 
-/// One life of a replica, with what this node has seen of it. Shared with the requests under way at
-/// it. Nothing of it passes to a later life.
+/// One incarnation of a replica, with this node's observations of it. Shared with the requests in
+/// flight at it. No state carries over to the next incarnation.
 struct Replica {
   ReplicaEntry entry;
-  bool gone = false;               ///< Its registration was removed: it gets nothing new.
-  std::optional<LifeEnd> lifeEnd;  ///< Set: its process has started again, and it is gone.
-  /// It told its start, and registers without it now.
+  bool gone = false;               ///< Deregistered: receives no new requests.
+  std::optional<LifeEnd> lifeEnd;  ///< Set if the process has restarted; `gone` is then also set.
+  /// An earlier registration of this incarnation contained the process start, a newer one did not.
   bool startUntold = false;
-  std::uint32_t inFlight = 0;  ///< Requests of this node that run or wait there.
-  double othersInFlight = 0;   ///< Those of other nodes, as far as they told a moment ago.
-  Instant heardAt;             ///< When any byte of an answer came from it.
-  std::uint32_t failures = 0;  ///< In a row: no connection, cut answers, silence.
-  OutcomeTally outcomes;       ///< Of this node's latest requests there.
-  double othersFailed = 0;     ///< Of other nodes' latest requests, where any failed.
-  double othersEnded = 0;      ///< The latest requests of those nodes.
-  Instant suspectUntil;        ///< Avoided until then while others are there.
-  Instant fullUntil;           ///< It refused for want of room a moment ago.
-  /// Its registration lapsed while the store was out of order, which proves nothing: it is used
-  /// until then if there is no other.
-  std::optional<Instant> doubtfulUntil;
-  /// Requests a second that it bears while it is cold, from all nodes; 0: it is never cold.
+  std::uint32_t inFlight = 0;  ///< This node's requests that run or wait there.
+  double othersInFlight = 0;   ///< Other nodes' requests, estimated from their digests.
+  Instant heardAt;             ///< When this node last received a byte of a response from it.
+  std::uint32_t failures = 0;  ///< Consecutive connection errors, cut responses and timeouts.
+  OutcomeTally outcomes;       ///< This node's recent requests there.
+  double othersFailed = 0;     ///< Failed recent requests of other nodes.
+  double othersEnded = 0;      ///< Recent requests of the other nodes that report failures.
+  Instant suspectUntil;        ///< Avoided until then if other replicas are available.
+  Instant fullUntil;           ///< At capacity: it refused a request recently.
+  /// Set if the registration lapsed while the store was unavailable, which does not prove that the
+  /// replica failed: until then it is used as a last resort.
+  std::optional<Instant> graceUntil;
+  /// Rate limit while it is cold, from all nodes together; 0: never cold.
   double coldRequestsPerSecond = 0;
-  Instant coldUntil;       ///< By its registration; see `ColdReplicaRule`.
-  bool isTrusted = false;  ///< It has answered all the time, also while the store was silent.
-  double answerMilliseconds = 0;  ///< Smoothed time to the first byte; 0 before the first answer.
+  Instant coldUntil;              ///< From its registration; see `ColdReplicaRule`.
+  bool isResponsive = false;      ///< It kept responding, also while the store was unavailable.
+  double answerMilliseconds = 0;  ///< Smoothed time to first byte; 0 before the first response.
 
-  /// \return whether nothing speaks against it: its small load may come from being out of reach.
-  [[nodiscard]] bool isSound(Instant now) const {
-    return suspectUntil <= now && fullUntil <= now && !doubtfulUntil;
+  /// \return whether its low load can be relied on: it is neither suspect nor at capacity, and its
+  /// registration has not lapsed.
+  [[nodiscard]] bool isHealthy(Instant now) const {
+    return suspectUntil <= now && fullUntil <= now && !graceUntil;
   }
-  [[nodiscard]] bool takesWork() const { return !gone && !entry.draining; }
-  /// \return whether all that ran in this life is over.
+  [[nodiscard]] bool acceptsRequests() const { return !gone && !entry.draining; }
+  /// \return whether this incarnation has ended, and all requests at it with it.
   [[nodiscard]] bool hasEnded() const { return lifeEnd.has_value(); }
-  /// \return the share of the latest requests, of all nodes, that failed there; 0 while fewer than
-  /// `kFewestFailures` did.
+  /// \return the fraction of recent requests of all nodes that failed; 0 below `kMinFailures`.
   [[nodiscard]] double failureShare(Instant now) const {
     const double failed = outcomes.failed(now) + othersFailed;
     const double ended = outcomes.ended(now) + othersEnded;
-    return failed < kFewestFailures ? 0.0 : failed / std::max(ended, failed);
+    return failed < kMinFailures ? 0.0 : failed / std::max(ended, failed);
   }
   [[nodiscard]] double load() const { return static_cast<double>(inFlight) + othersInFlight; }
-  /// \return the load as a share of what the replica works on at once.
+  /// \return the load divided by the number of requests that the replica runs concurrently.
   [[nodiscard]] double loadPerSlot() const { return load() / std::max(1U, entry.slots); }
 };
 using ReplicaPtr = std::shared_ptr<Replica>;
 
-/// How a change of a registration turned out.
+/// Result of applying a registration change.
 enum class ReplicaChange : std::uint8_t {
   None,
   Added,
@@ -87,37 +86,37 @@
   Moved,
   Doubted,
   Removed,
-  Restarted,  ///< The id has a new life: the `Replica` of before is gone.
-  Outdated,   ///< The entry is of a life that has ended: nothing was taken from it.
+  Restarted,  ///< The id has a new incarnation; the previous `Replica` has ended.
+  Outdated,   ///< The entry belongs to an ended incarnation and was ignored.
 };
 
-/// The registered replicas.
+/// The registered replicas, by id and by service.
 class ReplicaTable {
  public:
-  /// Takes over one registration.
-  /// \param beganAt where it starts a new life: see `lifeBeganAt`. At its default, everything that
-  /// was sent before ran at the earlier life.
+  /// Adds or updates a registration.
+  /// \param beganAt start of a new incarnation, see `lifeBeganAt`. With the default, all earlier
+  /// requests are attributed to the previous incarnation.
   ReplicaChange upsert(ReplicaEntry entry, Instant beganAt = Instant::max());
-  /// Forgets a registration; requests under way keep their `Replica`.
+  /// Removes a registration; requests in flight keep their `Replica`.
   ReplicaChange remove(std::string_view id);
-  /// Keeps a lapsed registration for a while; one that was leaving is removed at once.
+  /// Keeps a lapsed registration as a last resort until `until`; removes a draining one at once.
   ReplicaChange doubt(std::string_view id, Instant until);
-  /// Removes what was doubted until now. \return the removed ids.
+  /// Removes lapsed registrations whose grace period has ended. \return the removed ids.
   std::vector<std::string> dropDoubtful(Instant now);
-  /// \return the registered ids that are not listed.
+  /// \return the registered ids that are not in `ids`.
   [[nodiscard]] std::vector<std::string> missingFrom(const std::vector<std::string>& ids) const;
 
   [[nodiscard]] const std::vector<ReplicaPtr>& ofService(std::string_view service) const;
-  /// \return the replica of that id; null: none is registered.
+  /// \return the replica with that id; null if it is not registered.
   [[nodiscard]] ReplicaPtr find(std::string_view id) const;
-  /// \return every registered replica.
+  /// \return all registered replicas.
   [[nodiscard]] std::vector<ReplicaPtr> all() const;
   [[nodiscard]] std::size_t size() const { return byId_.size(); }
-  /// \return how many entries were ignored since their life had ended.
+  /// \return the number of entries ignored because their incarnation had ended.
   [[nodiscard]] std::uint64_t outdatedEntries() const { return outdatedEntries_; }
 
  private:
-  /// \return the start that is known of the id, registered or not.
+  /// \return the last known process start of the id, even if it is no longer registered.
   [[nodiscard]] std::optional<ReplicaStart> knownStartOf(const std::string& id) const;
   ReplicaPtr add(ReplicaEntry entry);
   ReplicaChange startAgain(ReplicaEntry entry, Instant beganAt);
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -7,7 +7,7 @@
 namespace gorsetrail::routing {
 namespace {
 
-/// Phases of a rotation: enough for weights of whole percents.
+/// Number of initial phases; sufficient for weights in whole percent.
 constexpr std::uint32_t kPhases = 200;
 
 }  // namespace
@@ -19,14 +19,14 @@
   return name;
 }
 
-std::string WeightedRotation::next(const std::vector<WeightedService>& services) {
+std::string WeightedRoundRobin::next(const std::vector<WeightedService>& services) {
   for (; phase_ > 0; --phase_) {
     advance(services);
   }
   return advance(services);
 }
 
-std::string WeightedRotation::advance(const std::vector<WeightedService>& services) {
+std::string WeightedRoundRobin::advance(const std::vector<WeightedService>& services) {
   double total = 0;
   const WeightedService* chosen = nullptr;
   for (const WeightedService& candidate : services) {
@@ -81,7 +81,7 @@
   auto rotation = rotations_.find(route.name);
   if (rotation == rotations_.end()) {
     const auto phase = static_cast<std::uint32_t>(random_.below(kPhases));
-    rotation = rotations_.emplace(route.name, WeightedRotation(phase)).first;
+    rotation = rotations_.emplace(route.name, WeightedRoundRobin(phase)).first;
   }
   return rotation->second.next(route.services);
 }
--- a/src/routing/route_table.h
+++ b/src/routing/route_table.h
@@ -1,4 +1,4 @@
-/// \file The configuration in force and the choice of a route and of a service within it.
+/// \file The active configuration, route matching and weighted choice of a service.
 #pragma once
 
 #include <cstdint>
@@ -13,19 +13,19 @@
 
 namespace gorsetrail::routing {
 
-/// Immutable configurations are shared with the requests that were routed by them.
+/// Immutable; shared with the requests that were routed by it.
 using ConfigurationPtr = std::shared_ptr<const Configuration>;
 
-/// \return the host as routes are found by it: lower case, without a port.
+/// \return the host in lower case, without a port, as used for route lookup.
 std::string normalizedHost(std::string_view host);
 
-/// Spreads a route's requests over its services, exactly by weight: smooth weighted round robin.
-class WeightedRotation {
+/// Distributes a route's requests over its services by smooth weighted round robin.
+class WeightedRoundRobin {
  public:
-  /// \param phase turns to skip at the start. Nodes that all began with the same service would
-  /// give it too much together while each has had few requests.
-  explicit WeightedRotation(std::uint32_t phase = 0) : phase_(phase) {}
-  /// \return the service whose turn it is; empty when there is none.
+  /// \param phase initial turns to skip. Without different phases all nodes would start with the
+  /// same service and send it too many requests.
+  explicit WeightedRoundRobin(std::uint32_t phase = 0) : phase_(phase) {}
+  /// \return the next service; empty if there is none.
   std::string next(const std::vector<WeightedService>& services);
 
  private:
@@ -35,31 +35,31 @@
   std::unordered_map<std::string, double> credit_;
 };
 
-/// Finds routes. The version in force never goes back in one life of the process.
+/// Matches requests to routes. The active version never decreases while the process runs.
 class RouteTable {
  public:
-  /// \param seed gives each route's rotation its phase; different at every node.
+  /// \param seed for the initial phase of each route's rotation; must differ between nodes.
   explicit RouteTable(std::uint64_t seed = 0) : random_(seed) {}
 
-  /// Puts a configuration in force. \return false when it is not newer than the one in force.
+  /// Activates a configuration. \return false if it is not newer than the active one.
   bool apply(ConfigurationPtr configuration);
 
-  /// \return the configuration in force; null before the first.
+  /// \return the active configuration; null before the first one.
   [[nodiscard]] const ConfigurationPtr& inForce() const { return inForce_; }
 
-  /// \return the route of the host with the longest prefix of the path; null when there is none.
-  /// It lives as long as the configuration in force.
+  /// \return the host's route with the longest matching path prefix; null if none matches. Valid as
+  /// long as the configuration is active.
   [[nodiscard]] const Route* match(std::string_view host, std::string_view path) const;
 
-  /// \return the service that the route's next request goes to.
+  /// \return the service for the route's next request.
   std::string nextService(const Route& route);
 
  private:
   RandomSource random_;
   ConfigurationPtr inForce_;
-  /// Routes of a host, longest prefix first.
+  /// Routes of each host, longest prefix first.
   std::unordered_map<std::string, std::vector<const Route*>> byHost_;
-  std::unordered_map<std::string, WeightedRotation> rotations_;
+  std::unordered_map<std::string, WeightedRoundRobin> rotations_;
 };
 
 }  // namespace gorsetrail::routing
--- a/src/tenant/api_key_hasher.h
+++ b/src/tenant/api_key_hasher.h
@@ -10,16 +10,16 @@
 
 namespace gorsetrail::tenant {
 
-/// HMAC-SHA256 under a secret that lives as long as the process. A digest says nothing about its
-/// key to whoever reads a core dump or measures how long a comparison takes.
+/// HMAC-SHA256 with a secret of this process, so that digests reveal no API key through a core dump
+/// or through comparison timing.
 class ApiKeyHasher {
  public:
   static constexpr std::size_t kSecretBytes = 32;
   using Secret = std::array<std::uint8_t, kSecretBytes>;
 
   explicit ApiKeyHasher(const Secret& secret) : secret_(secret) {}
-  /// \return a hasher with a secret drawn from the operating system; ends the process with an error
-  /// line when there is no randomness, since predictable digests would protect nothing.
+  /// \return a hasher with a random secret. Ends the process with an error message if the operating
+  /// system provides no randomness, because predictable digests would not protect the keys.
   static ApiKeyHasher withRandomSecret();
 
   [[nodiscard]] ApiKeyDigest digestOf(std::string_view apiKey) const;
--- a/src/tenant/authentication.cpp
+++ b/src/tenant/authentication.cpp
@@ -12,7 +12,7 @@
   if (holder != nullptr || isExempt) {
     return Authenticated{holder};
   }
-  // Without a key no configuration will do.
+  // A newer configuration cannot help a request without a key.
   if (key && !isConfigurationFresh) {
     return AuthenticationUncertain{};
   }
--- a/src/tenant/authentication.h
+++ b/src/tenant/authentication.h
@@ -1,4 +1,4 @@
-/// \file Decides in whose name a request is made. No I/O, no clock.
+/// \file Authentication of requests by API key. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -10,20 +10,20 @@
 
 namespace gorsetrail::tenant {
 
-/// The request may be served; null: in nobody's name.
+/// The request may be served; `tenant` is null for an anonymous request.
 struct Authenticated {
   const Tenant* tenant = nullptr;
 };
-/// No configuration that this node can be sure of knows the key.
+/// The request has no key, or a confirmed configuration does not contain its key.
 struct Unauthenticated {};
-/// A newer configuration than this node's may know the key.
+/// The key is unknown here, but a newer configuration than this node's may contain it.
 struct AuthenticationUncertain {};
 using Authentication = std::variant<Authenticated, Unauthenticated, AuthenticationUncertain>;
 
-/// \param directory null when the configuration asks for no keys.
-/// \param key absent when the request carries none, or several.
-/// \param isExempt the route serves requests without a key.
-/// \param isConfigurationFresh the store confirmed the configuration a moment ago.
+/// \param directory null if the configuration requires no keys.
+/// \param key empty if the request carries none or several.
+/// \param isExempt whether the route serves requests without a key.
+/// \param isConfigurationFresh whether the store has recently confirmed the configuration.
 Authentication authenticate(const TenantDirectory* directory,
                             const std::optional<ApiKeyDigest>& key, bool isExempt,
                             bool isConfigurationFresh);
--- a/src/tenant/scoped_name.h
+++ b/src/tenant/scoped_name.h
@@ -1,4 +1,4 @@
-/// \file Names of programs and turns that no other tenant can name.
+/// \file Names of programs and turns, unique across tenants.
 #pragma once
 
 #include <string>
@@ -6,13 +6,13 @@
 
 namespace gorsetrail::tenant {
 
-/// Clients choose the ids of their programs and turns, so two tenants may choose the same. Whatever
-/// is kept of a program in memory, between nodes or in the store goes by the scoped name: a caller
-/// that names another tenant's turn finds nothing, exactly as if there were no such turn.
+/// Clients choose the ids of their programs and turns, so ids of different tenants may collide. All
+/// state of a program in memory, between nodes and in the store uses the scoped name, so a request
+/// that names another tenant's turn gets the same answer as for a turn that does not exist.
 ///
-/// Injective: `LENGTH:TENANT/ID`. Without a tenant an id without a colon stands for itself, as in
-/// records written before there were tenants; they belong to nobody who has a key. An id with a
-/// colon becomes `0:/ID`, so that it cannot pass for another tenant's. An empty id stays empty.
+/// Injective: `LENGTH:TENANT/ID`. Without a tenant, an id without a colon is returned unchanged, to
+/// match records stored without tenants, which no tenant can access. An id with a colon becomes
+/// `0:/ID`, so that it cannot be taken for another tenant's name. An empty id stays empty.
 std::string scopedName(std::string_view tenant, std::string_view id);
 
 }  // namespace gorsetrail::tenant
--- a/src/tenant/tenant.h
+++ b/src/tenant/tenant.h
@@ -1,4 +1,4 @@
-/// \file Tenants as operators configure them. Types only.
+/// \file Tenant configuration types.
 #pragma once
 
 #include <array>
@@ -13,31 +13,31 @@
 
 namespace gorsetrail::tenant {
 
-/// Keyed digest of an API key. The key itself is never kept, logged or sent on.
+/// Keyed digest of an API key. The key itself is never stored, logged or forwarded.
 struct ApiKeyDigest {
   static constexpr std::size_t kBytes = 32;
 
   std::array<std::uint8_t, kBytes> bytes{};
 };
 
-/// Requests that a tenant may make through all nodes together.
+/// Rate limit of a tenant across all nodes.
 struct Quota {
   double requestsPerSecond = 0;
-  double burst = 0;  ///< Requests above the rate.
+  double burst = 0;  ///< Requests allowed above the rate.
 
-  /// \return whether there is a limit; a rate of 0 sets none.
+  /// \return whether there is a limit; a rate of 0 means none.
   [[nodiscard]] bool isLimited() const { return requestsPerSecond > 0; }
   bool operator==(const Quota&) const = default;
 };
 
-/// Priorities of replicas go from 0, the most urgent, to this.
+/// Highest valid priority value; 0 is the most urgent.
 inline constexpr std::uint32_t kLeastUrgentPriority = 9;
 
-/// One customer of the deployment.
+/// A customer of the deployment.
 struct Tenant {
   std::string name;
-  std::vector<ApiKeyDigest> keys;         ///< Two while a key is being replaced.
-  std::optional<std::uint32_t> priority;  ///< Goes before the route's.
+  std::vector<ApiKeyDigest> keys;         ///< Two during key rotation.
+  std::optional<std::uint32_t> priority;  ///< Overrides the route's priority.
   Quota quota;
   /// Regions that may serve, cache and store its requests; empty: any.
   std::set<std::string, std::less<>> allowedRegions{};
--- a/src/tenant/tenant_directory.cpp
+++ b/src/tenant/tenant_directory.cpp
@@ -21,13 +21,14 @@
   return {ErrorKind::InvalidField, "tenant " + tenant, std::move(reason), std::move(remedy)};
 }
 
-bool isAllowance(double value) { return std::isfinite(value) && value >= 0; }
+bool isFiniteNonNegative(double value) { return std::isfinite(value) && value >= 0; }
 
-std::optional<Error> faultOf(const Tenant& tenant) {
+std::optional<Error> validationErrorOf(const Tenant& tenant) {
   if (tenant.name.empty()) {
     return invalid("(unnamed)", "its name is empty", "give each tenant a name");
   }
-  if (!isAllowance(tenant.quota.requestsPerSecond) || !isAllowance(tenant.quota.burst)) {
+  if (!isFiniteNonNegative(tenant.quota.requestsPerSecond) ||
+      !isFiniteNonNegative(tenant.quota.burst)) {
     return invalid(tenant.name, "its rate or burst is negative or no number",
                    "set both to 0 or more");
   }
@@ -45,7 +46,7 @@
   directory.tenants_ = std::move(tenants);
   for (std::size_t index = 0; index < directory.tenants_.size(); ++index) {
     const Tenant& tenant = directory.tenants_[index];
-    if (auto fault = faultOf(tenant)) {
+    if (auto fault = validationErrorOf(tenant)) {
       return std::move(*fault);
     }
     if (!directory.byName_.emplace(tenant.name, index).second) {
--- a/src/tenant/tenant_directory.h
+++ b/src/tenant/tenant_directory.h
@@ -1,4 +1,4 @@
-/// \file Which tenant holds an API key. No I/O, no clock.
+/// \file Lookup of tenants by API key digest and by name. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -12,20 +12,20 @@
 
 namespace gorsetrail::tenant {
 
-/// The tenants of one configuration; immutable. Digests are found by their first eight bytes, which
-/// nobody can choose without the secret, and then compared in constant time.
+/// The tenants of one configuration; immutable. A key is looked up by the first eight bytes of its
+/// digest, which cannot be predicted without the secret, and then compared in constant time.
 class TenantDirectory {
  public:
-  /// Errors: `InvalidField` when two tenants have one name or one key, when a rate or burst is
-  /// negative or no number, or when a priority is unknown. A configuration with such tenants is
-  /// refused whole: half of it would let requests through under the wrong tenant.
+  /// Errors: `InvalidField` if two tenants share a name or a key, if a rate or burst is negative or
+  /// not finite, or if a priority is out of range. The whole configuration is rejected, because a
+  /// partial one could assign requests to the wrong tenant.
   static Result<TenantDirectory> make(std::vector<Tenant> tenants);
 
-  /// \return the tenant, or null; it lives as long as the directory.
+  /// \return the tenant with this key, or null; valid as long as the directory exists.
   [[nodiscard]] const Tenant* holderOf(const ApiKeyDigest& key) const;
-  /// \return the tenant of that name, or null.
+  /// \return the tenant with that name, or null.
   [[nodiscard]] const Tenant* find(const std::string& name) const;
-  /// \return whether any tenant has a limit.
+  /// \return whether any tenant has a rate limit.
   [[nodiscard]] bool hasLimits() const { return hasLimits_; }
   [[nodiscard]] const std::vector<Tenant>& tenants() const { return tenants_; }
 
--- a/tests/routing/admission_policy_test.cpp
+++ b/tests/routing/admission_policy_test.cpp
@@ -40,7 +40,7 @@
 }
 
 TEST(AdmissionPolicy, thereIsSpareRoomWhereTheReplicasAreUnderHalfFullTogetherOrHalfOfThemAre) {
-  const auto hasSpareRoom = [&](const std::vector<double>& loads) {
+  const auto hasSpareCapacity = [&](const std::vector<double>& loads) {
     std::vector<Replica> replicas(loads.size());
     std::vector<const Replica*> seen;
     for (std::size_t index = 0; index < loads.size(); ++index) {
@@ -48,12 +48,12 @@
       replicas[index].othersInFlight = loads[index];
       seen.push_back(&replicas[index]);
     }
-    return policy.hasSpareRoom(seen);
+    return policy.hasSpareCapacity(seen);
   };
-  CHECK_TRUE(hasSpareRoom({5.5, 5.5, 5.5, 0}));  // 41% together; one of four is spare.
-  CHECK_TRUE(hasSpareRoom({30, 30, 4.9, 4.9}));
-  CHECK_FALSE(hasSpareRoom({30, 30, 5, 4.9}));
-  CHECK_FALSE(hasSpareRoom({5, 5, 5, 5}));
+  CHECK_TRUE(hasSpareCapacity({5.5, 5.5, 5.5, 0}));  // 41% together; one of four is spare.
+  CHECK_TRUE(hasSpareCapacity({30, 30, 4.9, 4.9}));
+  CHECK_FALSE(hasSpareCapacity({30, 30, 5, 4.9}));
+  CHECK_FALSE(hasSpareCapacity({5, 5, 5, 5}));
 }
 
 TEST(AdmissionPolicy, aQuarterOfTheTriesOfTurnsThatGoOnGoAnywhere) {
@@ -61,9 +61,9 @@
   int anywhere = 0;
   for (int number = 0; number < kTries; ++number) {
     const std::string attempt = "q" + std::to_string(number);
-    anywhere += policy.goesAnywhere({WorkStage::Continuing, 1, attempt}) ? 1 : 0;
-    CHECK_FALSE(policy.goesAnywhere({WorkStage::FirstTurn, 0, attempt}));
-    CHECK_FALSE(policy.goesAnywhere({WorkStage::Runaway, 0, attempt}));
+    anywhere += policy.mayOverflow({WorkStage::Continuing, 1, attempt}) ? 1 : 0;
+    CHECK_FALSE(policy.mayOverflow({WorkStage::FirstTurn, 0, attempt}));
+    CHECK_FALSE(policy.mayOverflow({WorkStage::Runaway, 0, attempt}));
   }
   CHECK_TRUE(anywhere > kTries / 5 && anywhere < kTries * 3 / 10);
 }
--- a/tests/routing/cold_replica_fleet_test.cpp
+++ b/tests/routing/cold_replica_fleet_test.cpp
@@ -438,7 +438,7 @@
 
 TEST(ColdReplicaFleet, mutantFullBucketsAtTheStartBreakIt) {
   Scenario scenario = changingViews();
-  scenario.knobs.firstTokens = 1;
+  scenario.knobs.initialTokens = 1;
   checkBreaks(scenario);
 }
 
@@ -450,7 +450,7 @@
 
 TEST(ColdReplicaFleet, mutantUncappedUnsureNodesBreakIt) {
   Scenario scenario;
-  scenario.knobs.unsureSlot = milliseconds(1);
+  scenario.knobs.unknownStateSlot = milliseconds(1);
   checkBreaks(scenario);
 }
 
--- a/tests/routing/cold_replica_rule_test.cpp
+++ b/tests/routing/cold_replica_rule_test.cpp
@@ -52,20 +52,20 @@
     rule->onRegistration(*replica, isNew, now);
     rule->tend({replica}, now);
   }
-  bool mayGet() { return !rule->barOf(*replica, {}, now); }
+  bool isEligible() { return !rule->barOf(*replica, {}, now); }
   /// Lets time pass, three seconds at the most.
   void waitUntilMayGet() {
     rule->tend({replica}, now);
-    for (const Instant end = now + seconds(3); !mayGet() && now < end;) {
+    for (const Instant end = now + seconds(3); !isEligible() && now < end;) {
       now += milliseconds(10);
     }
-    CHECK_TRUE(mayGet());
+    CHECK_TRUE(isEligible());
   }
   /// Sends whatever may be sent. \return how much that was.
   int sendFor(Duration span) {
     int sent = 0;
     for (const Instant end = now + span; now < end; now += milliseconds(10)) {
-      if (mayGet()) {
+      if (isEligible()) {
         rule->onSent(*replica, now);
         ++sent;
       }
@@ -83,61 +83,61 @@
 TEST(ColdReplicaRule, aServiceWithoutAColdRateIsNeverHeldBack) {
   service.coldRequestsPerSecond = 0;
   registers(seconds(2));
-  CHECK_TRUE(mayGet());
+  CHECK_TRUE(isEligible());
   begin({});  // Knows nothing at all.
   rule->tend({replica}, now);
-  CHECK_TRUE(mayGet());
+  CHECK_TRUE(isEligible());
 }
 
 TEST(ColdReplicaRule, aRegistrationSaysForHowLongAReplicaIsCold) {
   registers(seconds(2));
-  CHECK(PlacementBar::ColdRateSpent == rule->barOf(*replica, {}, now).value());
-  CHECK(rule->retryAfter(PlacementBar::ColdRateSpent) <= milliseconds(200));
+  CHECK(ExclusionReason::ColdRateExhausted == rule->barOf(*replica, {}, now).value());
+  CHECK(rule->retryAfter(ExclusionReason::ColdRateExhausted) <= milliseconds(200));
   now += milliseconds(1990);
   hear();
   CHECK_TRUE(rule->isCold(*replica, now));
   now += milliseconds(10);
   CHECK_FALSE(rule->isCold(*replica, now));
-  CHECK_TRUE(mayGet());
+  CHECK_TRUE(isEligible());
 }
 
 TEST(ColdReplicaRule, aReplicaThatSaysItIsWarmIsUsedAtOnce) {
   registers(seconds(3));
-  CHECK_FALSE(mayGet());
+  CHECK_FALSE(isEligible());
   registers(Duration::zero());
-  CHECK_TRUE(mayGet());
+  CHECK_TRUE(isEligible());
 }
 
 TEST(ColdReplicaRule, aWarmReplicaMayTurnColdAgain) {
   registers(Duration::zero());
-  CHECK_TRUE(mayGet());
+  CHECK_TRUE(isEligible());
   registers(milliseconds(2500));
-  CHECK_FALSE(mayGet());
+  CHECK_FALSE(isEligible());
 }
 
 TEST(ColdReplicaRule, aNewReplicaThatSaysNothingIsColdForItsServicesTime) {
   registers(std::nullopt, true);
-  CHECK_FALSE(mayGet());
+  CHECK_FALSE(isEligible());
   now += seconds(2);
   hear();
   CHECK_TRUE(rule->isCold(*replica, now));
   now += milliseconds(1400);
   hear();
-  CHECK_TRUE(mayGet());
+  CHECK_TRUE(isEligible());
 }
 
 TEST(ColdReplicaRule, aKnownReplicaThatSaysNothingStaysAsItIs) {
   registers(std::nullopt, false);
-  CHECK_TRUE(mayGet());
+  CHECK_TRUE(isEligible());
 }
 
 TEST(ColdReplicaRule, aReturnedZoneIsColdUntilLaterRegistrationsCanHaveBeenRead) {
   registers(Duration::zero());
   rule->onZoneReturned("z", now);
   rule->tend({replica}, now);
-  CHECK_FALSE(mayGet());
+  CHECK_FALSE(isEligible());
   registers(Duration::zero());  // Written before it turned cold, for all that is known.
-  CHECK_FALSE(mayGet());
+  CHECK_FALSE(isEligible());
   now += milliseconds(1400);
   hear();
   CHECK_TRUE(rule->isCold(*replica, now));
@@ -145,18 +145,18 @@
   CHECK_TRUE(rule->isCold(*replica, now));  // Time alone proves nothing.
   hear();
   CHECK_FALSE(rule->isCold(*replica, now));
-  CHECK_TRUE(mayGet());
+  CHECK_TRUE(isEligible());
 }
 
 TEST(ColdReplicaRule, aReturnedZoneSaysNothingOfOtherZones) {
   rule->onZoneReturned("elsewhere", now);
-  CHECK_TRUE(mayGet());
+  CHECK_TRUE(isEligible());
 }
 
 TEST(ColdReplicaRule, aFeederBeginsEmptyAndKeepsItsRate) {
   registers(seconds(60));
-  CHECK_FALSE(mayGet());
-  // 0.56 x 42.5 / (2 views x 4 feeders) - 1 token saved up = 1.975 a second.
+  CHECK_FALSE(isEligible());
+  // 0.56 x 42.5 / (2 views x 4 senders) - 1 token saved up = 1.975 a second.
   LONGS_EQUAL(0, sendFor(milliseconds(500)));
   LONGS_EQUAL(1, sendFor(milliseconds(20)));
   hear();
@@ -177,7 +177,7 @@
   sources.serviceOf = [this](std::string_view) { return &service; };
   sources.nodes = [this]() -> const std::vector<std::string>& { return nodes; };
   sources.members = [this]() -> const std::vector<RingMember>& { return members; };
-  int feeders = 0;
+  int designatedSenders = 0;
   for (const std::string& node : nodes) {
     ColdReplicaRule other({}, sources, node, 1);
     replica->entry.coldFor = seconds(3);
@@ -186,9 +186,9 @@
     LONGS_EQUAL(1, changes.size());
     CHECK_TRUE(changes.front().isCold);
     CHECK(changes.front().remaining == seconds(3));
-    feeders += changes.front().isFeeder ? 1 : 0;
+    designatedSenders += changes.front().isFeeder ? 1 : 0;
   }
-  LONGS_EQUAL(4, feeders);
+  LONGS_EQUAL(4, designatedSenders);
 }
 
 TEST(ColdReplicaRule, whoIsNoFeederLeavesTheReplicaOut) {
@@ -211,7 +211,7 @@
   query.replica.service = "m";
   query.replica.affinityKey = "p1";
   const auto none = std::get<NoReplica>(placement.place(query, now));
-  CHECK(PlacementBar::ColdRateSpent == none.bar.value());
+  CHECK(ExclusionReason::ColdRateExhausted == none.bar.value());
   LONGS_EQUAL(1, rule->passedOver());
   CHECK(std::holds_alternative<NoReplica>(placement.place(query, now)));
   LONGS_EQUAL(2, rule->passedOver());
@@ -221,13 +221,13 @@
   registers(seconds(60));
   now += seconds(1);
   hear();
-  CHECK_TRUE(mayGet());
+  CHECK_TRUE(isEligible());
   nodes = {"b"};
   hear();
-  CHECK_FALSE(mayGet());
+  CHECK_FALSE(isEligible());
   nodes = {"a"};
   hear();
-  CHECK_FALSE(mayGet());
+  CHECK_FALSE(isEligible());
 }
 
 TEST(ColdReplicaRule, aLowLimitHasFewerFeeders) {
@@ -251,7 +251,7 @@
   now += milliseconds(200);
   hear();
   CHECK_TRUE(rule->isSure(now));
-  CHECK_TRUE(mayGet());
+  CHECK_TRUE(isEligible());
 }
 
 TEST(ColdReplicaRule, withoutWordOfTheStoreOnlyReplicasThatKeepAnsweringAreUsedOn) {
@@ -368,7 +368,7 @@
       rule->tend({replica}, now);
       const Instant end = now + milliseconds(250 + 190 * ((life + process) % 8));
       for (; now < end; now += milliseconds(10)) {
-        if (mayGet()) {
+        if (isEligible()) {
           CHECK(!sentAt || now - *sentAt >= seconds(1));
           sentAt = now;
           rule->onSent(*replica, now);
--- a/tests/routing/evacuation_test.cpp
+++ b/tests/routing/evacuation_test.cpp
@@ -11,7 +11,7 @@
   EvacuationRule rule{table, {}};
   Instant now{seconds(100)};
 
-  std::optional<PlacementBar> barOf(const std::string& zone) {
+  std::optional<ExclusionReason> barOf(const std::string& zone) {
     Replica replica;
     replica.entry.zone = zone;
     return rule.barOf(replica, {}, now);
@@ -19,11 +19,11 @@
 };
 
 TEST(Evacuation, barsEveryReplicaBeforeTheFirstWholeListing) {
-  CHECK(PlacementBar::EvacuationUnknown == barOf("a").value());
+  CHECK(ExclusionReason::EvacuationUnknown == barOf("a").value());
   CHECK_TRUE(table.onEvacuated("a", now));  // A page of the listing is not the whole of it.
-  CHECK(PlacementBar::EvacuationUnknown == barOf("b").value());
+  CHECK(ExclusionReason::EvacuationUnknown == barOf("b").value());
   CHECK_TRUE(table.onListed({"a"}).empty());
-  CHECK(PlacementBar::ZoneEvacuated == barOf("a").value());
+  CHECK(ExclusionReason::ZoneEvacuated == barOf("a").value());
   CHECK_FALSE(barOf("b").has_value());
 }
 
@@ -35,7 +35,7 @@
   CHECK_TRUE(table.onTakenBack("a"));
   CHECK_FALSE(table.onTakenBack("a"));
   CHECK_FALSE(barOf("a").has_value());
-  CHECK(PlacementBar::ZoneEvacuated == barOf("b").value());
+  CHECK(ExclusionReason::ZoneEvacuated == barOf("b").value());
 }
 
 TEST(Evacuation, takesAZoneThatAWholeListingLeavesOutAsTakenBack) {
@@ -46,7 +46,7 @@
   LONGS_EQUAL(1, takenBack.size());
   STRCMP_EQUAL("a", takenBack.front().c_str());
   CHECK_FALSE(barOf("a").has_value());
-  CHECK(PlacementBar::ZoneEvacuated == barOf("b").value());
+  CHECK(ExclusionReason::ZoneEvacuated == barOf("b").value());
 }
 
 TEST(Evacuation, remembersSinceWhenItKnows) {
--- a/tests/routing/region_rule_test.cpp
+++ b/tests/routing/region_rule_test.cpp
@@ -23,7 +23,7 @@
   Instant now{seconds(100)};
 
   void setup() override { evacuations.onListed({}); }
-  std::optional<PlacementBar> barOf(const std::string& zone, const RegionSet* regions) {
+  std::optional<ExclusionReason> barOf(const std::string& zone, const RegionSet* regions) {
     Replica replica;
     replica.entry.zone = zone;
     return rule.barOf(replica, {regions}, now);
@@ -47,9 +47,9 @@
 
 TEST(RegionRule, allowsOnlyReplicasOfTheRegions) {
   CHECK_FALSE(barOf("wa", &west).has_value());
-  CHECK(PlacementBar::RegionNotAllowed == barOf("ea", &west).value());
-  CHECK(PlacementBar::RegionNotAllowed == barOf("unknown", &west).value());
-  CHECK(PlacementBar::RegionNotAllowed == barOf("wa", &none).value());
+  CHECK(ExclusionReason::RegionNotAllowed == barOf("ea", &west).value());
+  CHECK(ExclusionReason::RegionNotAllowed == barOf("unknown", &west).value());
+  CHECK(ExclusionReason::RegionNotAllowed == barOf("wa", &none).value());
   CHECK_FALSE(barOf("unknown", nullptr).has_value());
 }
 
@@ -62,7 +62,7 @@
 TEST(RegionRule, isTheReasonWhereNoReplicaOfTheRegionsIsLeft) {
   add("near", "ea");
   const auto refused = std::get<NoReplica>(place(&west));
-  CHECK(PlacementBar::RegionNotAllowed == refused.bar.value());
+  CHECK(ExclusionReason::RegionNotAllowed == refused.bar.value());
   CHECK(refused.retryAfter > Duration::zero());
 }
 
@@ -73,5 +73,5 @@
   add("far", "wa");
   evacuations.onEvacuated("wa", now);
   evacuations.onEvacuated("ea", now);
-  CHECK(PlacementBar::ZoneEvacuated == std::get<NoReplica>(place(&west)).bar.value());
+  CHECK(ExclusionReason::ZoneEvacuated == std::get<NoReplica>(place(&west)).bar.value());
 }
--- a/tests/routing/replica_life_test.cpp
+++ b/tests/routing/replica_life_test.cpp
@@ -53,18 +53,18 @@
 TEST(ReplicaLife, startsAreOrderedOnlyWhereBothAreTold) {
   const ReplicaStart first(kFirstStart);
   const ReplicaStart second(kSecondStart);
-  CHECK(lifeOrderOf(first, second) == LifeOrder::Later);
-  CHECK(lifeOrderOf(second, first) == LifeOrder::Earlier);
-  CHECK(lifeOrderOf(first, first) == LifeOrder::Same);
-  CHECK(lifeOrderOf({}, first) == LifeOrder::Same);
-  CHECK(lifeOrderOf(first, {}) == LifeOrder::Same);
+  CHECK(compareIncarnations(first, second) == IncarnationOrder::Later);
+  CHECK(compareIncarnations(second, first) == IncarnationOrder::Earlier);
+  CHECK(compareIncarnations(first, first) == IncarnationOrder::Same);
+  CHECK(compareIncarnations({}, first) == IncarnationOrder::Same);
+  CHECK(compareIncarnations(first, {}) == IncarnationOrder::Same);
 }
 
 TEST(ReplicaLife, aStartIsPlacedOnThisNodesClock) {
   const ReplicaStart start(kFirstStart);
-  CHECK(lifeBeganAt(start, kFirstStart + 5000, now) == now - seconds(5) - kClockTolerance);
+  CHECK(lifeBeganAt(start, kFirstStart + 5000, now) == now - seconds(5) - kMaxClockSkew);
   // A clock that runs ahead: not later than now.
-  CHECK(lifeBeganAt(start, kFirstStart - 5000, now) == now - kClockTolerance);
+  CHECK(lifeBeganAt(start, kFirstStart - 5000, now) == now - kMaxClockSkew);
 }
 
 TEST(ReplicaLife, aStartFarAheadOfThisNodesClockIsNone) {
@@ -90,14 +90,14 @@
   earlier->suspectUntil = now + seconds(1);
   earlier->fullUntil = now + seconds(1);
   earlier->coldUntil = now + seconds(1);
-  earlier->isTrusted = true;
+  earlier->isResponsive = true;
   earlier->answerMilliseconds = 70;
   CHECK(table.upsert(entryOf(kSecondStart)) == ReplicaChange::Restarted);
   const ReplicaPtr later = only();
   CHECK(later != earlier);
-  CHECK_FALSE(earlier->takesWork());
+  CHECK_FALSE(earlier->acceptsRequests());
   CHECK_TRUE(earlier->hasEnded());
-  CHECK_TRUE(later->takesWork());
+  CHECK_TRUE(later->acceptsRequests());
   CHECK_FALSE(later->hasEnded());
   DOUBLES_EQUAL(0, later->load(), 1e-9);
   DOUBLES_EQUAL(0, later->failureShare(now), 1e-9);
@@ -106,7 +106,7 @@
   CHECK(later->suspectUntil == Instant{});
   CHECK(later->fullUntil == Instant{});
   CHECK(later->coldUntil == Instant{});
-  CHECK_FALSE(later->isTrusted);
+  CHECK_FALSE(later->isResponsive);
   DOUBLES_EQUAL(0, later->answerMilliseconds, 1e-9);
   --earlier->inFlight;  // A request of the earlier life ends.
   LONGS_EQUAL(0, later->inFlight);
@@ -138,8 +138,8 @@
   CHECK(table.upsert(late) == ReplicaChange::Outdated);
   CHECK(only() == replica);
   STRCMP_EQUAL("10.0.0.2:80", replica->entry.address.c_str());
-  CHECK_TRUE(replica->takesWork());
-  CHECK_TRUE(replica->doubtfulUntil.has_value());
+  CHECK_TRUE(replica->acceptsRequests());
+  CHECK_TRUE(replica->graceUntil.has_value());
   LONGS_EQUAL(1, table.outdatedEntries());
 }
 
@@ -158,10 +158,10 @@
   leaving.draining = true;
   table.upsert(leaving);
   table.upsert(entryOf(kSecondStart));
-  CHECK_TRUE(only()->takesWork());
+  CHECK_TRUE(only()->acceptsRequests());
   leaving.startedAt = ReplicaStart(kThirdStart);
   CHECK(table.upsert(leaving) == ReplicaChange::Restarted);
-  CHECK_FALSE(only()->takesWork());
+  CHECK_FALSE(only()->acceptsRequests());
 }
 
 TEST(ReplicaLife, aDoubtedReplicaThatStartsAgainIsSound) {
@@ -169,7 +169,7 @@
   table.doubt("a", now);
   table.upsert(entryOf(kSecondStart));
   CHECK(table.dropDoubtful(now + seconds(9)).empty());
-  CHECK_FALSE(only()->doubtfulUntil.has_value());
+  CHECK_FALSE(only()->graceUntil.has_value());
 }
 
 TEST(ReplicaLife, anIdWithoutAStartHasOneLife) {
@@ -225,14 +225,14 @@
 
 TEST(ReplicaLife, theOldestDepartedIdsAreForgotten) {
   DepartedReplicas departed;
-  for (std::size_t number = 0; number < DepartedReplicas::kMostDeparted + 10; ++number) {
-    departed.remember(std::to_string(number), {ReplicaStart(number), {}});
-    departed.remember(std::to_string(number), {ReplicaStart(number), {}});
+  for (std::size_t number = 0; number < DepartedReplicas::kMaxDeparted + 10; ++number) {
+    departed.insert(std::to_string(number), {ReplicaStart(number), {}});
+    departed.insert(std::to_string(number), {ReplicaStart(number), {}});
   }
-  LONGS_EQUAL(DepartedReplicas::kMostDeparted, departed.size());
+  LONGS_EQUAL(DepartedReplicas::kMaxDeparted, departed.size());
   CHECK(departed.find("9") == nullptr);
   CHECK(departed.find("10") != nullptr);
-  departed.forget("10");
+  departed.remove("10");
   CHECK(departed.find("10") == nullptr);
 }
 
@@ -323,8 +323,8 @@
   const ReplicaPtr earlier = registers(kFirstStart, Duration::zero());
   earlier->heardAt = now;
   changes();
-  CHECK_TRUE(earlier->isTrusted);
+  CHECK_TRUE(earlier->isResponsive);
   const ReplicaPtr later = registers(kSecondStart, Duration::zero());
   changes();
-  CHECK_FALSE(later->isTrusted);
+  CHECK_FALSE(later->isResponsive);
 }
--- a/tests/routing/replica_placement_test.cpp
+++ b/tests/routing/replica_placement_test.cpp
@@ -19,22 +19,22 @@
 /// Keeps requests from the replicas of one zone.
 class ZoneRule final : public PlacementRule {
  public:
-  ZoneRule(std::string zone, PlacementBar bar, Duration retryAfter)
+  ZoneRule(std::string zone, ExclusionReason bar, Duration retryAfter)
       : zone_(std::move(zone)), bar_(bar), retryAfter_(retryAfter) {}
-  std::optional<PlacementBar> barOf(const Replica& replica, const PlacementSubject& /*subject*/,
-                                    Instant /*now*/) const override {
+  std::optional<ExclusionReason> barOf(const Replica& replica, const PlacementSubject& /*subject*/,
+                                       Instant /*now*/) const override {
     ++asked[replica.entry.id];
     return replica.entry.zone == zone_ ? std::optional(bar_) : std::nullopt;
   }
   void onSent(const Replica& /*replica*/, Instant /*now*/) override { ++sent; }
-  Duration retryAfter(PlacementBar /*bar*/) const override { return retryAfter_; }
+  Duration retryAfter(ExclusionReason /*bar*/) const override { return retryAfter_; }
 
   int sent = 0;
   mutable std::map<std::string, int> asked;  ///< By the replica's id.
 
  private:
   std::string zone_;
-  PlacementBar bar_;
+  ExclusionReason bar_;
   Duration retryAfter_;
 };
 
@@ -44,8 +44,8 @@
   ReplicaTable table;
   ReplicaSelector selector{"a", {}};
   AdmissionPolicy admission{{}};
-  ZoneRule first{"a", PlacementBar::ZoneEvacuated, milliseconds(700)};
-  ZoneRule second{"b", PlacementBar::ColdRateSpent, milliseconds(90)};
+  ZoneRule first{"a", ExclusionReason::ZoneEvacuated, milliseconds(700)};
+  ZoneRule second{"b", ExclusionReason::ColdRateExhausted, milliseconds(90)};
   ReplicaPlacement placement{table, selector, admission, {&first, &second}};
   ReplicaPlacement withoutRules{table, selector, admission, {}};
   Instant now{seconds(100)};
@@ -79,7 +79,7 @@
   add("a2", "a");
   add("b1", "b");
   const auto none = std::get<NoReplica>(placement.place(query(), now));
-  CHECK(PlacementBar::ZoneEvacuated == none.bar.value());
+  CHECK(ExclusionReason::ZoneEvacuated == none.bar.value());
   CHECK(milliseconds(700) == none.retryAfter);
 }
 
@@ -94,8 +94,8 @@
   const ReplicaPtr leaving = add("c1", "c");
   const ReplicaPtr free = add("c2", "c");
   leaving->gone = true;
-  CHECK(PlacementBar::ZoneEvacuated == placement.barOf(*evacuated, {}, now).value());
-  CHECK(PlacementBar::Leaving == placement.barOf(*leaving, {}, now).value());
+  CHECK(ExclusionReason::ZoneEvacuated == placement.barOf(*evacuated, {}, now).value());
+  CHECK(ExclusionReason::Leaving == placement.barOf(*leaving, {}, now).value());
   CHECK_FALSE(placement.barOf(*free, {}, now).has_value());
 }
 
@@ -269,12 +269,12 @@
   for (const ReplicaPtr& replica : replicas) {
     replica->suspectUntil = {};
     if (replica != preferred) {
-      replica->doubtfulUntil = now + seconds(1);
+      replica->graceUntil = now + seconds(1);
     }
   }
   CHECK_FALSE(isPlaced(withoutRules.place(turn, now)));
   for (const ReplicaPtr& replica : replicas) {
-    replica->doubtfulUntil.reset();
+    replica->graceUntil.reset();
     replica->fullUntil = replica == preferred ? Instant{} : now + milliseconds(60);
   }
   CHECK_FALSE(isPlaced(withoutRules.place(turn, now)));
--- a/tests/routing/replica_selector_test.cpp
+++ b/tests/routing/replica_selector_test.cpp
@@ -13,7 +13,7 @@
   ReplicaSelector selector{"zone-a", {}};
   Instant now{seconds(100)};
 
-  static bool takesWork(const Replica& replica) { return replica.takesWork(); }
+  static bool acceptsRequests(const Replica& replica) { return replica.acceptsRequests(); }
   ReplicaPtr add(const std::string& id, const std::string& zone) {
     ReplicaEntry entry;
     entry.id = id;
@@ -30,7 +30,7 @@
     query.affinityKey = key;
     query.promptTokens = promptTokens;
     query.tried = tried;
-    return selector.choose(table, query, takesWork, now);
+    return selector.choose(table, query, acceptsRequests, now);
   }
 };
 
@@ -126,17 +126,17 @@
   ReplicaQuery query;
   query.service = "s";
   query.isConnected = [&](const Replica& replica) { return &replica == connected.get(); };
-  CHECK(selector.choose(table, query, takesWork, now) == connected);
+  CHECK(selector.choose(table, query, acceptsRequests, now) == connected);
   connected->othersInFlight = 1;
-  CHECK(selector.choose(table, query, takesWork, now) == connected);
+  CHECK(selector.choose(table, query, acceptsRequests, now) == connected);
   connected->othersInFlight = 2;
-  CHECK(selector.choose(table, query, takesWork, now) == near);
+  CHECK(selector.choose(table, query, acceptsRequests, now) == near);
 }
 
 TEST(ReplicaSelector, usesADoubtedReplicaOnlyWhenThereIsNoOther) {
   const ReplicaPtr doubted = add("doubted", "zone-a");
   const ReplicaPtr busy = add("busy", "zone-b");
-  doubted->doubtfulUntil = now + seconds(1);
+  doubted->graceUntil = now + seconds(1);
   busy->othersInFlight = 100;
   CHECK(choose("p", 2500) == busy);
   busy->gone = true;
@@ -169,9 +169,9 @@
   add("c", "zone-c");
   const ReplicaPtr near = add("b", "zone-b");
   near->inFlight = 3;
-  CHECK(far.choose(table, query, takesWork, now) == near);
+  CHECK(far.choose(table, query, acceptsRequests, now) == near);
   near->inFlight = 5;
-  CHECK(far.choose(table, query, takesWork, now) != near);
+  CHECK(far.choose(table, query, acceptsRequests, now) != near);
 }
 
 TEST(ReplicaSelector, promptsGatherInTheNearestPlaceThatHasReplicas) {
@@ -184,14 +184,14 @@
   for (int replica = 0; replica < 4; ++replica) {
     add("c" + std::to_string(replica), "zone-c");
   }
-  const ReplicaPtr inEast = near.choose(table, query, takesWork, now);
+  const ReplicaPtr inEast = near.choose(table, query, acceptsRequests, now);
   inEast->inFlight = 3;
-  CHECK(near.choose(table, query, takesWork, now) == inEast);
+  CHECK(near.choose(table, query, acceptsRequests, now) == inEast);
   for (int replica = 0; replica < 4; ++replica) {
     add("b" + std::to_string(replica), "zone-b");
   }
-  const ReplicaPtr inWest = near.choose(table, query, takesWork, now);
+  const ReplicaPtr inWest = near.choose(table, query, acceptsRequests, now);
   STRCMP_EQUAL("zone-b", inWest->entry.zone.c_str());
   inWest->inFlight = 3;
-  CHECK(near.choose(table, query, takesWork, now) == inWest);
+  CHECK(near.choose(table, query, acceptsRequests, now) == inWest);
 }
--- a/tests/routing/replica_table_test.cpp
+++ b/tests/routing/replica_table_test.cpp
@@ -27,7 +27,7 @@
   CHECK(table.upsert(entry) == ReplicaChange::None);
   entry.draining = true;
   CHECK(table.upsert(entry) == ReplicaChange::Draining);
-  CHECK_FALSE(table.ofService("s").front()->takesWork());
+  CHECK_FALSE(table.ofService("s").front()->acceptsRequests());
   entry.draining = false;
   CHECK(table.upsert(entry) == ReplicaChange::Ready);
   CHECK(table.remove("a") == ReplicaChange::Removed);
@@ -39,7 +39,7 @@
   table.upsert(entryOf("a", "s"));
   const ReplicaPtr held = table.ofService("s").front();
   table.remove("a");
-  CHECK_FALSE(held->takesWork());
+  CHECK_FALSE(held->acceptsRequests());
 }
 
 TEST(ReplicaTable, movesBetweenServices) {
@@ -62,7 +62,7 @@
   table.upsert(entryOf("a", "s"));
   CHECK(table.doubt("a", now + seconds(2)) == ReplicaChange::Doubted);
   CHECK(table.doubt("a", now + seconds(9)) == ReplicaChange::None);
-  CHECK_TRUE(table.ofService("s").front()->takesWork());
+  CHECK_TRUE(table.ofService("s").front()->acceptsRequests());
   CHECK(table.dropDoubtful(now + seconds(1)).empty());
   LONGS_EQUAL(1, table.dropDoubtful(now + seconds(2)).size());
   CHECK(table.ofService("s").empty());
