--- a/tests/routing/admission_policy_test.cpp
+++ b/tests/routing/admission_policy_test.cpp
@@ -1,4 +1,4 @@
-// Under load first turns are turned away before later ones, runaways before all.
+// Load limits per program stage, spare capacity, and overflow to other replicas.
 #include "routing/admission_policy.h"
 
 #include <string>
@@ -19,13 +19,13 @@
   }
 };
 
-TEST(AdmissionPolicy, admitsEverythingAtAnEmptyReplica) {
+TEST(AdmissionPolicy, admitsEveryStageAtAnIdleReplica) {
   CHECK_TRUE(admits(0, WorkStage::Runaway));
   CHECK_TRUE(admits(0, WorkStage::FirstTurn));
   CHECK_TRUE(admits(0, WorkStage::Continuing));
 }
 
-TEST(AdmissionPolicy, turnsAwayInTheOrderOfWhatIsLost) {
+TEST(AdmissionPolicy, refusesRunawaysFirstAndContinuingProgramsLast) {
   CHECK_FALSE(admits(7, WorkStage::Runaway));
   CHECK_TRUE(admits(7, WorkStage::FirstTurn));
   CHECK_FALSE(admits(13, WorkStage::FirstTurn));
@@ -33,42 +33,43 @@
   CHECK_FALSE(admits(21, WorkStage::Continuing));
 }
 
-TEST(AdmissionPolicy, admitsTheMostUrgentRouteALittleLonger) {
+TEST(AdmissionPolicy, raisesTheLimitForPriorityZeroExceptForRunaways) {
   CHECK_FALSE(admits(13, WorkStage::FirstTurn, 1));
   CHECK_TRUE(admits(13, WorkStage::FirstTurn, 0));
   CHECK_FALSE(admits(7, WorkStage::Runaway, 0));
 }
 
-TEST(AdmissionPolicy, thereIsSpareRoomWhereTheReplicasAreUnderHalfFullTogetherOrHalfOfThemAre) {
+TEST(AdmissionPolicy, hasSpareCapacityIfMeanLoadIsLowOrHalfOfTheReplicasAreLightlyLoaded) {
   const auto hasSpareCapacity = [&](const std::vector<double>& loads) {
     std::vector<Replica> replicas(loads.size());
-    std::vector<const Replica*> seen;
+    std::vector<const Replica*> candidates;
     for (std::size_t index = 0; index < loads.size(); ++index) {
       replicas[index].entry.slots = 10;
       replicas[index].othersInFlight = loads[index];
-      seen.push_back(&replicas[index]);
+      candidates.push_back(&replicas[index]);
     }
-    return policy.hasSpareCapacity(seen);
+    return policy.hasSpareCapacity(candidates);
   };
-  CHECK_TRUE(hasSpareCapacity({5.5, 5.5, 5.5, 0}));  // 41% together; one of four is spare.
+  CHECK_TRUE(
+      hasSpareCapacity({5.5, 5.5, 5.5, 0}));  // Mean load 41%; one of four is lightly loaded.
   CHECK_TRUE(hasSpareCapacity({30, 30, 4.9, 4.9}));
   CHECK_FALSE(hasSpareCapacity({30, 30, 5, 4.9}));
   CHECK_FALSE(hasSpareCapacity({5, 5, 5, 5}));
 }
 
-TEST(AdmissionPolicy, aQuarterOfTheTriesOfTurnsThatGoOnGoAnywhere) {
-  constexpr int kTries = 4000;
-  int anywhere = 0;
-  for (int number = 0; number < kTries; ++number) {
+TEST(AdmissionPolicy, aQuarterOfContinuingAttemptsMayOverflow) {
+  constexpr int kAttempts = 4000;
+  int overflowing = 0;
+  for (int number = 0; number < kAttempts; ++number) {
     const std::string attempt = "q" + std::to_string(number);
-    anywhere += policy.mayOverflow({WorkStage::Continuing, 1, attempt}) ? 1 : 0;
+    overflowing += policy.mayOverflow({WorkStage::Continuing, 1, attempt}) ? 1 : 0;
     CHECK_FALSE(policy.mayOverflow({WorkStage::FirstTurn, 0, attempt}));
     CHECK_FALSE(policy.mayOverflow({WorkStage::Runaway, 0, attempt}));
   }
-  CHECK_TRUE(anywhere > kTries / 5 && anywhere < kTries * 3 / 10);
+  CHECK_TRUE(overflowing > kAttempts / 5 && overflowing < kAttempts * 3 / 10);
 }
 
-TEST(AdmissionPolicy, aReplicaAdmitsFirstTurnsOfOthersAsItsOwnFirstTurns) {
+TEST(AdmissionPolicy, overflowAndFirstTurnsHaveTheSameLimit) {
   replica.othersInFlight = 11.9;
   CHECK_TRUE(policy.admitsFirstTurns(replica));
   CHECK_TRUE(policy.admits(replica, {WorkStage::FirstTurn, 1}));
--- a/tests/routing/cold_replica_fleet_test.cpp
+++ b/tests/routing/cold_replica_fleet_test.cpp
@@ -1,6 +1,5 @@
-// The limit of cold replicas over a whole fleet, in virtual time: every node sends whatever the
-// rule lets it, and the arrivals at each replica in each sliding second are counted while it is
-// cold. Mutants, each of which must break the limit, show that the count can fail.
+// Simulates a fleet in which every node sends all requests that the rule allows, and checks the
+// arrivals at each cold replica in every sliding second. Mutants must exceed the limit.
 #include <algorithm>
 #include <deque>
 #include <memory>
@@ -24,71 +23,71 @@
 constexpr Duration kColdTime = seconds(3);
 const std::string kZone = "z";
 
-/// What differs between the runs.
+/// Parameters of a run.
 struct Scenario {
   ColdReplicaKnobs knobs;
   std::size_t nodes = 100;
   double coldPerSecond = 25;
-  double hiddenMembers = 0.1;  ///< Each view leaves out this share of the members.
-  bool viewsChangeAllTheTime = false;
-  bool isSplit = false;  ///< Two halves, each of which sees only itself.
-  /// Nodes without the store and relays from before the evacuation on: they go on sending to the
-  /// replicas all the time, and are answered.
+  double hiddenMemberFraction = 0.1;  ///< Fraction of the members that each view omits.
+  bool viewsChangeContinuously = false;
+  bool isSplit = false;  ///< Two halves that see only their own members.
+  /// Number of nodes that lose the store and all relays before the evacuation. They keep sending
+  /// to the replicas and get responses.
   std::size_t cutOff = 8;
-  double frozen = 0.1;     ///< Nodes that stand still around the return.
-  double restarted = 0.3;  ///< Nodes whose process starts anew around the return.
-  double storeLost = 0;    ///< Nodes without the store from some seconds before on.
-  /// All processes start anew at once, so long after the return.
-  std::optional<Duration> lossOfAll;
-  std::optional<Duration> secondLoss;  ///< So long after the first one.
-  bool isDarkBefore = false;           ///< The replicas answer nobody before they come back cold.
-  // Mutants.
-  bool everyNodeFeeds = false;
-  bool everyNodeOwnsAll = false;  ///< Each knows no other member.
+  double pausedFraction = 0.1;     ///< Fraction of nodes that are paused around the return.
+  double restartedFraction = 0.3;  ///< Fraction of nodes that restart around the return.
+  double storeLostFraction = 0;    ///< Fraction of nodes that lose the store some seconds before.
+  /// If set, all processes restart at the same time, this long after the return.
+  std::optional<Duration> fullRestartAfter;
+  std::optional<Duration> secondRestartAfter;  ///< Delay of a second restart after the first.
+  bool isUnresponsiveBefore = false;  ///< The replicas do not respond until they return cold.
+  // Mutants: faults injected into the rule or its inputs.
+  bool everyNodeIsSender = false;
+  bool everyNodeOwnsAll = false;  ///< Each node knows only itself as a member.
   bool ignoresReturn = false;
-  bool startsSure = false;
+  bool startsInKnownState = false;
 };
 
-/// \return what may reach a cold replica in any second.
+/// \return the limit of requests that reach a cold replica in any second.
 double limitOf(const Scenario& scenario) {
   return scenario.coldPerSecond * scenario.knobs.overshoot + scenario.knobs.slack;
 }
 
-/// A registration as it lies in the store.
+/// A registration as stored.
 struct Registration {
   Instant writtenAt;
   Duration coldFor;
 };
 
-struct WorldReplica {
+struct SimulatedReplica {
   std::string id;
   Instant coldFrom;
   Instant coldUntil;
   std::vector<Registration> log;
-  std::deque<Instant> arrivals;  ///< Of the last second, while cold.
-  std::size_t most = 0;
-  std::size_t all = 0;
+  std::deque<Instant> arrivals;  ///< Within the last second, while cold.
+  std::size_t maxPerSecond = 0;
+  std::size_t total = 0;
 };
 
 struct FleetNode {
   std::string name;
   std::vector<std::string> view;
-  std::vector<RingMember> members;  ///< As in `view`; made when it is asked for.
+  std::vector<RingMember> members;  ///< Same members as `view`; built on demand.
   std::unique_ptr<ColdReplicaRule> rule;
   std::vector<ReplicaPtr> replicas;
-  std::vector<std::size_t> read;  ///< Registrations of each replica that were read.
+  std::vector<std::size_t> read;  ///< Number of registrations read, for each replica.
   Instant nextReadAt;
-  Instant nextOperatorReadAt;
+  Instant nextEvacuationReadAt;
   bool hasReadReturn = false;
-  Instant listsAt;          ///< Of a process that starts: its first listings end.
-  Instant membersListedAt;  ///< It knows no member before.
+  Instant listsAt;          ///< When the first listings after a restart are complete.
+  Instant membersListedAt;  ///< The member list is empty before this time.
   bool isListed = true;
   bool knowsEvacuated = true;
   bool isCutOff = false;
-  Instant frozenFrom = Instant::max();
-  Instant frozenUntil = Instant::max();
+  Instant pausedFrom = Instant::max();
+  Instant pausedUntil = Instant::max();
   Instant restartsAt = Instant::max();
-  bool isLostTwice = false;
+  bool hasRestartedTwice = false;
 };
 
 class Fleet {
@@ -103,7 +102,7 @@
       nodes_.back()->name = "n" + std::to_string(index);
     }
     for (std::size_t index = 0; index < scenario_.nodes; ++index) {
-      prepare(index);
+      initializeNode(index);
     }
   }
 
@@ -116,90 +115,92 @@
       }
     }
   }
-  /// \return the most requests at one replica in one second.
-  [[nodiscard]] std::size_t most() const {
-    std::size_t most = 0;
-    for (const WorldReplica& replica : world_) {
-      most = std::max(most, replica.most);
+  /// \return the maximum number of requests at one replica in one second.
+  [[nodiscard]] std::size_t maxPerSecond() const {
+    std::size_t maxPerSecond = 0;
+    for (const SimulatedReplica& replica : simulatedReplicas_) {
+      maxPerSecond = std::max(maxPerSecond, replica.maxPerSecond);
     }
-    return most;
+    return maxPerSecond;
+  }
+  [[nodiscard]] std::size_t total() const {
+    return simulatedReplicas_.front().total + simulatedReplicas_.back().total;
   }
-  [[nodiscard]] std::size_t all() const { return world_.front().all + world_.back().all; }
 
  private:
-  Duration upTo(Duration span) {
+  Duration randomUpTo(Duration span) {
     return Duration(
         static_cast<Duration::rep>(random_.below(static_cast<std::uint64_t>(span.count()))));
   }
 
   void makeReplicas() {
     for (std::size_t index = 0; index < kReplicas; ++index) {
-      WorldReplica replica;
+      SimulatedReplica replica;
       replica.id = "i-" + std::to_string(random_.below(UINT32_MAX));
-      replica.coldFrom = returnedAt_ - upTo(milliseconds(800));
+      replica.coldFrom = returnedAt_ - randomUpTo(milliseconds(800));
       replica.coldUntil = replica.coldFrom + kColdTime;
-      const Instant first = now_ - upTo(kHeartbeat);
+      const Instant first = now_ - randomUpTo(kHeartbeat);
       for (Instant at = first; at < returnedAt_ + seconds(6); at += kHeartbeat) {
         const bool cold = replica.coldFrom <= at && at < replica.coldUntil;
         replica.log.push_back({at, cold ? replica.coldUntil - at : Duration::zero()});
       }
-      world_.push_back(std::move(replica));
+      simulatedReplicas_.push_back(std::move(replica));
     }
   }
 
   void makeView(std::size_t index) {
     FleetNode& node = *nodes_[index];
     node.view.clear();
-    if (scenario_.everyNodeFeeds) {
+    if (scenario_.everyNodeIsSender) {
       node.view = {node.name};
       return;
     }
     for (std::size_t other = 0; other < scenario_.nodes; ++other) {
       const bool isOtherHalf = scenario_.isSplit && other % 2 != index % 2;
-      const bool isHidden = other != index && random_.fraction() < scenario_.hiddenMembers;
+      const bool isHidden = other != index && random_.fraction() < scenario_.hiddenMemberFraction;
       if (!isOtherHalf && !isHidden) {
         node.view.push_back("n" + std::to_string(other));
       }
     }
   }
 
-  void prepare(std::size_t index) {
+  void initializeNode(std::size_t index) {
     FleetNode& node = *nodes_[index];
     makeView(index);
-    begin(node);
-    // It has run for long.
+    startProcess(node);
+    // The process has been running for a while.
     node.rule->onEvacuationsListed(now_ - seconds(60));
     node.rule->onFresh(now_);
     node.rule->onEvacuationsFresh(now_);
-    node.nextOperatorReadAt = now_ + upTo(milliseconds(600));
-    node.nextReadAt = now_ + upTo(milliseconds(600));
-    const double fate = random_.fraction();
+    node.nextEvacuationReadAt = now_ + randomUpTo(milliseconds(600));
+    node.nextReadAt = now_ + randomUpTo(milliseconds(600));
+    const double draw = random_.fraction();
     if (index < scenario_.cutOff) {
       node.isCutOff = true;
-    } else if (fate < scenario_.frozen) {
-      node.frozenFrom = returnedAt_ - upTo(seconds(4));
-      node.frozenUntil = node.frozenFrom + milliseconds(500) + upTo(seconds(5));
+    } else if (draw < scenario_.pausedFraction) {
+      node.pausedFrom = returnedAt_ - randomUpTo(seconds(4));
+      node.pausedUntil = node.pausedFrom + milliseconds(500) + randomUpTo(seconds(5));
       if (random_.below(2) == 0) {
-        // It missed the whole evacuation, of some seconds.
+        // Paused during the whole evacuation.
         node.knowsEvacuated = false;
-        node.frozenFrom = returnedAt_ - milliseconds(3500) - upTo(milliseconds(1500));
-        node.frozenUntil = returnedAt_ - milliseconds(400) + upTo(seconds(2));
+        node.pausedFrom = returnedAt_ - milliseconds(3500) - randomUpTo(milliseconds(1500));
+        node.pausedUntil = returnedAt_ - milliseconds(400) + randomUpTo(seconds(2));
       }
-    } else if (fate < scenario_.frozen + scenario_.restarted) {
-      node.restartsAt = returnedAt_ - seconds(1) + upTo(seconds(4));
+    } else if (draw < scenario_.pausedFraction + scenario_.restartedFraction) {
+      node.restartsAt = returnedAt_ - seconds(1) + randomUpTo(seconds(4));
     }
-    if (random_.fraction() < scenario_.storeLost) {
+    if (random_.fraction() < scenario_.storeLostFraction) {
       node.isCutOff = true;
     }
-    if (scenario_.lossOfAll) {
-      node.restartsAt = returnedAt_ + *scenario_.lossOfAll + upTo(milliseconds(60));
+    if (scenario_.fullRestartAfter) {
+      node.restartsAt = returnedAt_ + *scenario_.fullRestartAfter + randomUpTo(milliseconds(60));
     }
     if (node.isCutOff) {
       node.knowsEvacuated = false;
     }
   }
 
-  void begin(FleetNode& node) {
+  void startProcess(FleetNode& node) {
     ColdReplicaSources sources;
     sources.serviceOf = [this](std::string_view) { return &service_; };
     sources.nodes = [this, &node]() -> const std::vector<std::string>& { return viewOf(node); };
@@ -208,13 +209,13 @@
     node.rule = std::make_unique<ColdReplicaRule>(scenario_.knobs, sources, node.name, life);
     node.replicas.clear();
     node.read.assign(kReplicas, 0);
-    for (const WorldReplica& replica : world_) {
-      auto known = std::make_shared<Replica>();
-      known->entry.id = replica.id;
-      known->entry.service = "m";
-      known->entry.zone = kZone;
-      known->coldRequestsPerSecond = scenario_.coldPerSecond;
-      node.replicas.push_back(std::move(known));
+    for (const SimulatedReplica& replica : simulatedReplicas_) {
+      auto replicaView = std::make_shared<Replica>();
+      replicaView->entry.id = replica.id;
+      replicaView->entry.service = "m";
+      replicaView->entry.zone = kZone;
+      replicaView->coldRequestsPerSecond = scenario_.coldPerSecond;
+      node.replicas.push_back(std::move(replicaView));
     }
   }
 
@@ -230,32 +231,32 @@
     return node.members;
   }
 
-  /// \return the members that the node knows.
+  /// \return the members known to the node.
   [[nodiscard]] const std::vector<std::string>& viewOf(const FleetNode& node) const {
-    static const std::vector<std::string> kNobody;
-    return now_ < node.membersListedAt ? kNobody : node.view;
+    static const std::vector<std::string> kNoMembers;
+    return now_ < node.membersListedAt ? kNoMembers : node.view;
   }
 
   void restart(FleetNode& node) {
     node.restartsAt = Instant::max();
-    begin(node);
+    startProcess(node);
     node.isListed = false;
-    node.listsAt = now_ + milliseconds(20) + upTo(milliseconds(400));
+    node.listsAt = now_ + milliseconds(20) + randomUpTo(milliseconds(400));
     node.nextReadAt = node.listsAt;
-    node.nextOperatorReadAt = node.listsAt;
-    if (scenario_.lossOfAll) {
-      // All ask the store at once: as in the logs of forty processes that were killed together.
-      node.membersListedAt = now_ + milliseconds(14) + upTo(milliseconds(1140));
+    node.nextEvacuationReadAt = node.listsAt;
+    if (scenario_.fullRestartAfter) {
+      // All nodes query the store at the same time, which delays the member lists.
+      node.membersListedAt = now_ + milliseconds(14) + randomUpTo(milliseconds(1140));
     }
-    if (scenario_.secondLoss && !node.isLostTwice) {
-      node.isLostTwice = true;
-      node.restartsAt = now_ + *scenario_.secondLoss;
+    if (scenario_.secondRestartAfter && !node.hasRestartedTwice) {
+      node.hasRestartedTwice = true;
+      node.restartsAt = now_ + *scenario_.secondRestartAfter;
     }
   }
 
   void readRegistrations(FleetNode& node) {
     for (std::size_t index = 0; index < kReplicas; ++index) {
-      const std::vector<Registration>& log = world_[index].log;
+      const std::vector<Registration>& log = simulatedReplicas_[index].log;
       while (node.read[index] < log.size() && log[node.read[index]].writtenAt <= now_) {
         node.replicas[index]->entry.coldFor = log[node.read[index]].coldFor;
         node.rule->onRegistration(*node.replicas[index], false, now_);
@@ -263,10 +264,10 @@
       }
     }
     node.rule->onFresh(now_);
-    node.nextReadAt = now_ + milliseconds(400) + upTo(milliseconds(200));
+    node.nextReadAt = now_ + milliseconds(400) + randomUpTo(milliseconds(200));
   }
 
-  void readOperators(FleetNode& node) {
+  void readEvacuations(FleetNode& node) {
     if (!node.isListed) {
       if (now_ < node.listsAt) {
         return;
@@ -274,12 +275,12 @@
       node.isListed = true;
       node.knowsEvacuated = now_ < returnedAt_;
       node.hasReadReturn = !node.knowsEvacuated;
-      node.rule->onEvacuationsListed(scenario_.startsSure ? Instant{} : now_);
+      node.rule->onEvacuationsListed(scenario_.startsInKnownState ? Instant{} : now_);
     }
-    if (now_ < node.nextOperatorReadAt) {
+    if (now_ < node.nextEvacuationReadAt) {
       return;
     }
-    node.nextOperatorReadAt = now_ + milliseconds(200) + upTo(milliseconds(400));
+    node.nextEvacuationReadAt = now_ + milliseconds(200) + randomUpTo(milliseconds(400));
     node.rule->onEvacuationsFresh(now_);
     node.knowsEvacuated = now_ < returnedAt_;
     if (now_ >= returnedAt_ && !node.hasReadReturn) {
@@ -292,22 +293,22 @@
 
   void step(std::size_t index) {
     FleetNode& node = *nodes_[index];
-    if (now_ >= node.frozenFrom && now_ < node.frozenUntil) {
+    if (now_ >= node.pausedFrom && now_ < node.pausedUntil) {
       return;
     }
     if (now_ >= node.restartsAt) {
       restart(node);
     }
-    // A node that wakes may send before it reads.
+    // A node may send right after a pause, before it reads the store.
     sendAll(node);
     if (!node.isCutOff) {
-      readOperators(node);
+      readEvacuations(node);
       if (now_ >= node.nextReadAt && node.isListed) {
         readRegistrations(node);
       }
     }
     if (now_.time_since_epoch() % kTendPeriod == Duration::zero()) {
-      if (scenario_.viewsChangeAllTheTime) {
+      if (scenario_.viewsChangeContinuously) {
         makeView(index);
       }
       node.rule->tend(node.replicas, now_);
@@ -323,15 +324,15 @@
       const Replica& replica = *node.replicas[index];
       if (!node.rule->barOf(replica, {}, now_)) {
         node.rule->onSent(replica, now_);
-        if (!scenario_.isDarkBefore || now_ >= world_[index].coldFrom) {
+        if (!scenario_.isUnresponsiveBefore || now_ >= simulatedReplicas_[index].coldFrom) {
           node.replicas[index]->heardAt = now_;
         }
-        arrive(world_[index]);
+        recordArrival(simulatedReplicas_[index]);
       }
     }
   }
 
-  void arrive(WorldReplica& replica) const {
+  void recordArrival(SimulatedReplica& replica) const {
     if (now_ < replica.coldFrom || now_ >= replica.coldUntil) {
       return;
     }
@@ -339,8 +340,8 @@
     while (now_ - replica.arrivals.front() >= seconds(1)) {
       replica.arrivals.pop_front();
     }
-    replica.most = std::max(replica.most, replica.arrivals.size());
-    ++replica.all;
+    replica.maxPerSecond = std::max(replica.maxPerSecond, replica.arrivals.size());
+    ++replica.total;
   }
 
   Scenario scenario_;
@@ -348,53 +349,53 @@
   Service service_;
   Instant now_{seconds(1000)};
   Instant returnedAt_{seconds(1006)};
-  std::vector<WorldReplica> world_;
+  std::vector<SimulatedReplica> simulatedReplicas_;
   std::vector<std::unique_ptr<FleetNode>> nodes_;
 };
 
 struct Outcome {
-  std::size_t most = 0;
-  std::size_t all = 0;
+  std::size_t maxPerSecond = 0;
+  std::size_t total = 0;
 };
 
-Outcome play(const Scenario& scenario, std::uint64_t seeds = 12) {
+Outcome runSeeds(const Scenario& scenario, std::uint64_t seeds = 12) {
   Outcome outcome;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     Fleet fleet(scenario, seed * 7919);
     fleet.run();
-    outcome.most = std::max(outcome.most, fleet.most());
-    outcome.all += fleet.all();
+    outcome.maxPerSecond = std::max(outcome.maxPerSecond, fleet.maxPerSecond());
+    outcome.total += fleet.total();
   }
   return outcome;
 }
 
-void checkHolds(const Scenario& scenario, std::uint64_t seeds = 12) {
-  const Outcome outcome = play(scenario, seeds);
-  CHECK_COMPARE(static_cast<double>(outcome.most), <=, limitOf(scenario));
-  CHECK_COMPARE(outcome.all, >, 0U);
+void checkLimitHolds(const Scenario& scenario, std::uint64_t seeds = 12) {
+  const Outcome outcome = runSeeds(scenario, seeds);
+  CHECK_COMPARE(static_cast<double>(outcome.maxPerSecond), <=, limitOf(scenario));
+  CHECK_COMPARE(outcome.total, >, 0U);
 }
 
-void checkBreaks(const Scenario& scenario) {
-  CHECK_COMPARE(static_cast<double>(play(scenario).most), >, limitOf(scenario));
+void checkLimitIsExceeded(const Scenario& scenario) {
+  CHECK_COMPARE(static_cast<double>(runSeeds(scenario).maxPerSecond), >, limitOf(scenario));
 }
 
 Scenario changingViews() {
   Scenario scenario;
-  scenario.viewsChangeAllTheTime = true;
-  scenario.hiddenMembers = 0.4;
+  scenario.viewsChangeContinuously = true;
+  scenario.hiddenMemberFraction = 0.4;
   return scenario;
 }
 
-/// As in `tools/fault_soak.sh --nodes 40`: 11 requests in a second are allowed.
-Scenario lossOfAll(Duration afterTheReturn) {
+/// The fleet of `tools/fault_soak.sh --nodes 40`, with a limit of 11 requests per second.
+Scenario fullRestartAfter(Duration afterTheReturn) {
   Scenario scenario;
   scenario.nodes = 40;
   scenario.coldPerSecond = 4;
-  scenario.lossOfAll = afterTheReturn;
-  scenario.hiddenMembers = 0;
+  scenario.fullRestartAfter = afterTheReturn;
+  scenario.hiddenMemberFraction = 0;
   scenario.cutOff = 0;
-  scenario.frozen = 0;
-  scenario.restarted = 0;
+  scenario.pausedFraction = 0;
+  scenario.restartedFraction = 0;
   return scenario;
 }
 
@@ -402,117 +403,112 @@
 
 TEST_GROUP(ColdReplicaFleet){};
 
-TEST(ColdReplicaFleet, holdsWithRestartsFreezesAndCutOffNodes) { checkHolds({}); }
+TEST(ColdReplicaFleet, holdsWithRestartsPausesAndCutOffNodes) { checkLimitHolds({}); }
 
-TEST(ColdReplicaFleet, holdsWhenTwoHalvesHaveNoFeederInCommon) {
+TEST(ColdReplicaFleet, holdsWhenTwoHalvesHaveDisjointSenders) {
   Scenario scenario;
   scenario.isSplit = true;
-  scenario.hiddenMembers = 0;
+  scenario.hiddenMemberFraction = 0;
   scenario.cutOff = 4;
-  checkHolds(scenario);
+  checkLimitHolds(scenario);
 }
 
-TEST(ColdReplicaFleet, holdsWhileViewsOfTheMembersChange) { checkHolds(changingViews()); }
+TEST(ColdReplicaFleet, holdsWhileMembershipViewsChange) { checkLimitHolds(changingViews()); }
 
-TEST(ColdReplicaFleet, holdsWhenTheWholeFleetStartsAnewAsTheZoneReturns) {
+TEST(ColdReplicaFleet, holdsWhenTheWholeFleetRestartsAsTheZoneReturns) {
   Scenario scenario;
-  scenario.restarted = 1;
+  scenario.restartedFraction = 1;
   scenario.cutOff = 0;
-  scenario.frozen = 0;
-  checkHolds(scenario);
+  scenario.pausedFraction = 0;
+  checkLimitHolds(scenario);
 }
 
-TEST(ColdReplicaFleet, holdsWhileNobodyReachesTheStore) {
+TEST(ColdReplicaFleet, holdsWhileNoNodeReachesTheStore) {
   Scenario scenario;
-  scenario.storeLost = 1;
-  scenario.restarted = 0;
-  scenario.isDarkBefore = true;
-  checkHolds(scenario);
+  scenario.storeLostFraction = 1;
+  scenario.restartedFraction = 0;
+  scenario.isUnresponsiveBefore = true;
+  checkLimitHolds(scenario);
 }
 
 TEST(ColdReplicaFleet, holdsWithStaticShares) {
   Scenario scenario;
   scenario.knobs.sharing = ColdSharing::StaticShares;
-  checkHolds(scenario);
+  checkLimitHolds(scenario);
 }
 
-TEST(ColdReplicaFleet, mutantFullBucketsAtTheStartBreakIt) {
+TEST(ColdReplicaFleet, mutantInitialTokensExceedIt) {
   Scenario scenario = changingViews();
   scenario.knobs.initialTokens = 1;
-  checkBreaks(scenario);
+  checkLimitIsExceeded(scenario);
 }
 
-TEST(ColdReplicaFleet, mutantWithoutFeedersBreaksIt) {
+TEST(ColdReplicaFleet, mutantInWhichEveryNodeIsASenderExceedsIt) {
   Scenario scenario;
-  scenario.everyNodeFeeds = true;
-  checkBreaks(scenario);
+  scenario.everyNodeIsSender = true;
+  checkLimitIsExceeded(scenario);
 }
 
-TEST(ColdReplicaFleet, mutantUncappedUnsureNodesBreakIt) {
+TEST(ColdReplicaFleet, mutantWithoutSlotsInUnknownStateExceedsIt) {
   Scenario scenario;
   scenario.knobs.unknownStateSlot = milliseconds(1);
-  checkBreaks(scenario);
+  checkLimitIsExceeded(scenario);
 }
 
-TEST(ColdReplicaFleet, holdsALowLimitWhenAllNodesAreLostTwice) {
+TEST(ColdReplicaFleet, holdsALowLimitWhenAllNodesRestartTwice) {
   constexpr std::uint64_t kSeeds = 50;
   for (const int between : {400, 1000, 1600}) {
-    Scenario scenario = lossOfAll(milliseconds(-1000));
-    scenario.secondLoss = milliseconds(between);
-    checkHolds(scenario, kSeeds);
+    Scenario scenario = fullRestartAfter(milliseconds(-1000));
+    scenario.secondRestartAfter = milliseconds(between);
+    checkLimitHolds(scenario, kSeeds);
   }
 }
 
-TEST(ColdReplicaFleet, mutantInWhichEveryUnsureNodeSendsBreaksIt) {
-  Scenario scenario = lossOfAll(milliseconds(-1000));
+TEST(ColdReplicaFleet, mutantInWhichEveryNodeInUnknownStateSendsExceedsIt) {
+  Scenario scenario = fullRestartAfter(milliseconds(-1000));
   scenario.everyNodeOwnsAll = true;
-  checkBreaks(scenario);
+  checkLimitIsExceeded(scenario);
 }
 
-TEST(ColdReplicaFleet, mutantThatIgnoresAZonesReturnBreaksIt) {
+TEST(ColdReplicaFleet, mutantThatIgnoresAZonesReturnExceedsIt) {
   Scenario scenario;
   scenario.ignoresReturn = true;
-  checkBreaks(scenario);
+  checkLimitIsExceeded(scenario);
 }
 
-TEST(ColdReplicaFleet, mutantThatTrustsOldRegistrationsBreaksIt) {
+TEST(ColdReplicaFleet, mutantThatAcceptsOldRegistrationsExceedsIt) {
   Scenario scenario;
   scenario.knobs.heartbeat = Duration::zero();
   scenario.knobs.margin = Duration::zero();
-  checkBreaks(scenario);
+  checkLimitIsExceeded(scenario);
 }
 
-TEST(ColdReplicaFleet, mutantWithoutStalenessBreaksIt) {
+TEST(ColdReplicaFleet, mutantWithoutStalenessTimeoutExceedsIt) {
   Scenario scenario;
   scenario.knobs.staleAfter = seconds(3600);
-  checkBreaks(scenario);
+  checkLimitIsExceeded(scenario);
 }
 
-TEST(ColdReplicaFleet, mutantThatIsSureAtItsStartBreaksIt) {
+TEST(ColdReplicaFleet, mutantInKnownStateAtStartExceedsIt) {
   Scenario scenario;
-  scenario.startsSure = true;
-  checkBreaks(scenario);
+  scenario.startsInKnownState = true;
+  checkLimitIsExceeded(scenario);
 }
 
-// The story: a zone returns with cold replicas, and all nodes are killed at about that time. For
-// some two seconds none of them can know who is cold. Each sent one request to a replica in a time
-// that grew with the fleet, at a random phase: all together half of the limit in the mean, and up
-// to 18 in one second where 11 are allowed, without any feeder. The fault soak of forty nodes (seed
-// 42) saw up to 19 in a second. Now the replica's owners on a ring of the members send, and nobody
-// else, so that the sum is bounded and not only its mean.
+// Guards against random bursts after all nodes restart while a zone returns: while no node knows
+// which replicas are cold, only each replica's owners on the member ring may send.
 TEST(ColdReplicaFleet, holdsALowLimitWhenAllNodesAreLostAfterTheReturn) {
   constexpr std::uint64_t kSeeds = 100;
   for (const int after : {-1000, 0, 400, 1000, 2000}) {
-    checkHolds(lossOfAll(milliseconds(after)), kSeeds);
+    checkLimitHolds(fullRestartAfter(milliseconds(after)), kSeeds);
   }
 }
 
-// Nodes that lost the store and all relays before the evacuation go on sending to replicas that
-// answer them: two requests a second each, whose number nothing limits. Four of forty pass a limit
-// of 11.
+// Nodes cut off from the store keep sending to responsive replicas, two requests per second each,
+// and the number of such nodes is not bounded. Listed in KNOWN-RED.txt.
 TEST(ColdReplicaFleet, holdsALowLimitBesideNodesThatAreCutOff) {
-  Scenario scenario = lossOfAll({});
-  scenario.lossOfAll.reset();
+  Scenario scenario = fullRestartAfter({});
+  scenario.fullRestartAfter.reset();
   scenario.cutOff = 8;
-  checkHolds(scenario);
+  checkLimitHolds(scenario);
 }
--- a/tests/routing/cold_replica_rule_test.cpp
+++ b/tests/routing/cold_replica_rule_test.cpp
@@ -1,5 +1,4 @@
-// Cold replicas: when one counts as cold, who may send to it, and what a node does that cannot
-// know.
+// When a replica counts as cold, which nodes may send to it, and the limits in unknown state.
 #include "routing/cold_replica_rule.h"
 
 #include <memory>
@@ -26,23 +25,23 @@
     replica->entry.id = "i-1";
     replica->entry.service = "m";
     replica->entry.zone = "z";
-    begin({});
-    settle();
+    startRule({});
+    runUntilStateIsKnown();
   }
-  void begin(ColdReplicaKnobs knobs, std::uint64_t life = 77) {
+  void startRule(ColdReplicaKnobs knobs, std::uint64_t life = 77) {
     ColdReplicaSources sources;
     sources.serviceOf = [this](std::string_view name) { return name == "m" ? &service : nullptr; };
     sources.nodes = [this]() -> const std::vector<std::string>& { return nodes; };
     sources.members = [this]() -> const std::vector<RingMember>& { return members; };
     rule = std::make_unique<ColdReplicaRule>(knobs, sources, "a", life);
   }
-  /// Lets the node know everything, as after some seconds of running.
-  void settle() {
+  /// Advances time until the state of all replicas is known.
+  void runUntilStateIsKnown() {
     rule->onEvacuationsListed(now);
     now += seconds(2);
-    hear();
+    readStore();
   }
-  void hear() {
+  void readStore() {
     rule->onEvacuationsFresh(now);
     rule->onFresh(now);
     rule->tend({replica}, now);
@@ -53,15 +52,15 @@
     rule->tend({replica}, now);
   }
   bool isEligible() { return !rule->barOf(*replica, {}, now); }
-  /// Lets time pass, three seconds at the most.
-  void waitUntilMayGet() {
+  /// Advances time by up to three seconds.
+  void waitUntilEligible() {
     rule->tend({replica}, now);
     for (const Instant end = now + seconds(3); !isEligible() && now < end;) {
       now += milliseconds(10);
     }
     CHECK_TRUE(isEligible());
   }
-  /// Sends whatever may be sent. \return how much that was.
+  /// Sends all requests that the rule allows. \return their number.
   int sendFor(Duration span) {
     int sent = 0;
     for (const Instant end = now + span; now < end; now += milliseconds(10)) {
@@ -74,34 +73,34 @@
   }
 };
 
-TEST(ColdReplicaRule, warmReplicasGetEverything) {
+TEST(ColdReplicaRule, doesNotLimitWarmReplicas) {
   registers(Duration::zero());
   LONGS_EQUAL(100, sendFor(seconds(1)));
   LONGS_EQUAL(0, rule->coldReplicas());
 }
 
-TEST(ColdReplicaRule, aServiceWithoutAColdRateIsNeverHeldBack) {
+TEST(ColdReplicaRule, doesNotLimitAServiceWithoutAColdRate) {
   service.coldRequestsPerSecond = 0;
   registers(seconds(2));
   CHECK_TRUE(isEligible());
-  begin({});  // Knows nothing at all.
+  startRule({});  // Nothing has been read from the store.
   rule->tend({replica}, now);
   CHECK_TRUE(isEligible());
 }
 
-TEST(ColdReplicaRule, aRegistrationSaysForHowLongAReplicaIsCold) {
+TEST(ColdReplicaRule, aRegistrationSetsTheRemainingColdTime) {
   registers(seconds(2));
   CHECK(ExclusionReason::ColdRateExhausted == rule->barOf(*replica, {}, now).value());
   CHECK(rule->retryAfter(ExclusionReason::ColdRateExhausted) <= milliseconds(200));
   now += milliseconds(1990);
-  hear();
+  readStore();
   CHECK_TRUE(rule->isCold(*replica, now));
   now += milliseconds(10);
   CHECK_FALSE(rule->isCold(*replica, now));
   CHECK_TRUE(isEligible());
 }
 
-TEST(ColdReplicaRule, aReplicaThatSaysItIsWarmIsUsedAtOnce) {
+TEST(ColdReplicaRule, aReplicaThatReportsItIsWarmIsUsedAtOnce) {
   registers(seconds(3));
   CHECK_FALSE(isEligible());
   registers(Duration::zero());
@@ -115,60 +114,60 @@
   CHECK_FALSE(isEligible());
 }
 
-TEST(ColdReplicaRule, aNewReplicaThatSaysNothingIsColdForItsServicesTime) {
+TEST(ColdReplicaRule, aNewReplicaThatReportsNoStateIsColdForItsServicesColdTime) {
   registers(std::nullopt, true);
   CHECK_FALSE(isEligible());
   now += seconds(2);
-  hear();
+  readStore();
   CHECK_TRUE(rule->isCold(*replica, now));
   now += milliseconds(1400);
-  hear();
+  readStore();
   CHECK_TRUE(isEligible());
 }
 
-TEST(ColdReplicaRule, aKnownReplicaThatSaysNothingStaysAsItIs) {
+TEST(ColdReplicaRule, aKnownReplicaThatReportsNoStateKeepsIts) {
   registers(std::nullopt, false);
   CHECK_TRUE(isEligible());
 }
 
-TEST(ColdReplicaRule, aReturnedZoneIsColdUntilLaterRegistrationsCanHaveBeenRead) {
+TEST(ColdReplicaRule, aReturnedZoneIsColdUntilNewerRegistrationsHaveBeenRead) {
   registers(Duration::zero());
   rule->onZoneReturned("z", now);
   rule->tend({replica}, now);
   CHECK_FALSE(isEligible());
-  registers(Duration::zero());  // Written before it turned cold, for all that is known.
+  registers(Duration::zero());  // May have been written before the replica became cold.
   CHECK_FALSE(isEligible());
   now += milliseconds(1400);
-  hear();
+  readStore();
   CHECK_TRUE(rule->isCold(*replica, now));
   now += milliseconds(200);
-  CHECK_TRUE(rule->isCold(*replica, now));  // Time alone proves nothing.
-  hear();
+  CHECK_TRUE(rule->isCold(*replica, now));  // No newer registrations have been read yet.
+  readStore();
   CHECK_FALSE(rule->isCold(*replica, now));
   CHECK_TRUE(isEligible());
 }
 
-TEST(ColdReplicaRule, aReturnedZoneSaysNothingOfOtherZones) {
+TEST(ColdReplicaRule, aReturnedZoneDoesNotAffectOtherZones) {
   rule->onZoneReturned("elsewhere", now);
   CHECK_TRUE(isEligible());
 }
 
-TEST(ColdReplicaRule, aFeederBeginsEmptyAndKeepsItsRate) {
+TEST(ColdReplicaRule, aSenderStartsWithoutTokensAndKeepsItsRate) {
   registers(seconds(60));
   CHECK_FALSE(isEligible());
-  // 0.56 x 42.5 / (2 views x 4 senders) - 1 token saved up = 1.975 a second.
+  // 0.56 x 42.5 / (2 views x 4 senders) - 1 token of burst = 1.975 per second.
   LONGS_EQUAL(0, sendFor(milliseconds(500)));
   LONGS_EQUAL(1, sendFor(milliseconds(20)));
-  hear();
+  readStore();
   LONGS_EQUAL(3, sendFor(seconds(2)));
-  hear();
+  readStore();
   now += seconds(2);
-  hear();
+  readStore();
   const int afterRest = sendFor(seconds(1));
-  CHECK_COMPARE(afterRest, <=, 2);  // One token saved up, however long it waited.
+  CHECK_COMPARE(afterRest, <=, 2);  // The bucket holds one token.
 }
 
-TEST(ColdReplicaRule, onlyAFewNodesFeedAReplicaAndAllAgreeOnThem) {
+TEST(ColdReplicaRule, allNodesAgreeOnAFewSendersOfAReplica) {
   nodes.clear();
   for (int index = 0; index < 50; ++index) {
     nodes.push_back("n" + std::to_string(index));
@@ -191,13 +190,13 @@
   LONGS_EQUAL(4, designatedSenders);
 }
 
-TEST(ColdReplicaRule, whoIsNoFeederLeavesTheReplicaOut) {
+TEST(ColdReplicaRule, aNodeThatIsNotASenderExcludesTheReplica) {
   nodes = {"b", "c"};
   registers(seconds(5));
   LONGS_EQUAL(0, sendFor(seconds(2)));
 }
 
-TEST(ColdReplicaRule, countsAReplicaThatIsPassedOverOnceAPlacement) {
+TEST(ColdReplicaRule, countsAnExcludedReplicaOncePerPlacement) {
   nodes = {"b", "c"};
   ReplicaTable table;
   table.upsert(replica->entry);
@@ -217,44 +216,44 @@
   LONGS_EQUAL(2, rule->passedOver());
 }
 
-TEST(ColdReplicaRule, aNodeThatLosesAndRegainsItsPlaceBeginsEmptyAgain) {
+TEST(ColdReplicaRule, aNodeThatBecomesASenderAgainStartsWithoutTokens) {
   registers(seconds(60));
   now += seconds(1);
-  hear();
+  readStore();
   CHECK_TRUE(isEligible());
   nodes = {"b"};
-  hear();
+  readStore();
   CHECK_FALSE(isEligible());
   nodes = {"a"};
-  hear();
+  readStore();
   CHECK_FALSE(isEligible());
 }
 
-TEST(ColdReplicaRule, aLowLimitHasFewerFeeders) {
-  service.coldRequestsPerSecond = 1;  // Limit 6.5: one feeder with 0.82 a second.
+TEST(ColdReplicaRule, aLowLimitHasFewerSenders) {
+  service.coldRequestsPerSecond = 1;  // Limit 6.5: one sender with 0.82 per second.
   registers(seconds(60));
   LONGS_EQUAL(0, sendFor(milliseconds(1200)));
-  hear();
+  readStore();
   LONGS_EQUAL(1, sendFor(milliseconds(100)));
 }
 
-TEST(ColdReplicaRule, aProcessThatStartsSendsLittleUntilItCanKnow) {
-  begin({});
+TEST(ColdReplicaRule, aNewProcessSendsLittleInUnknownState) {
+  startRule({});
   rule->tend({replica}, now);
   rule->onEvacuationsListed(now);
-  hear();
+  readStore();
   nodes.assign(50, "a");
   const int sent = sendFor(milliseconds(1400));
   CHECK_COMPARE(sent, <=, 3);
-  hear();
+  readStore();
   CHECK_FALSE(rule->isSure(now));
   now += milliseconds(200);
-  hear();
+  readStore();
   CHECK_TRUE(rule->isSure(now));
   CHECK_TRUE(isEligible());
 }
 
-TEST(ColdReplicaRule, withoutWordOfTheStoreOnlyReplicasThatKeepAnsweringAreUsedOn) {
+TEST(ColdReplicaRule, withoutTheStoreOnlyResponsiveReplicasStayInUse) {
   registers(Duration::zero());
   auto used = std::make_shared<Replica>(*replica);
   used->entry.id = "i-2";
@@ -269,10 +268,10 @@
   CHECK(rule->barOf(*replica, {}, now).has_value());
   CHECK_FALSE(rule->barOf(*used, {}, now).has_value());
   rule->onSent(*used, now);
-  CHECK(rule->barOf(*used, {}, now).has_value());  // One in half a second.
+  CHECK(rule->barOf(*used, {}, now).has_value());  // The allowance is one per slot of 500 ms.
   now += milliseconds(500);
   CHECK_FALSE(rule->barOf(*used, {}, now).has_value());
-  // One that broke off may come back cold: answers do not mend that before the store does.
+  // A replica that failed may return cold, so responses alone do not restore its use.
   used->failures = 1;
   rule->tend({replica, used}, now);
   used->failures = 0;
@@ -284,7 +283,7 @@
   CHECK_FALSE(rule->barOf(*used, {}, now).has_value());
 }
 
-TEST(ColdReplicaRule, registrationsAloneDoNotTellOfAZonesReturn) {
+TEST(ColdReplicaRule, registrationsAloneDoNotMakeTheStateKnown) {
   now += seconds(4);
   rule->onFresh(now);
   CHECK_FALSE(rule->isSure(now));
@@ -292,7 +291,7 @@
   CHECK_TRUE(rule->isSure(now));
 }
 
-TEST(ColdReplicaRule, withoutFeedersEveryNodeHasASmallShare) {
+TEST(ColdReplicaRule, staticSharesGiveEveryNodeASmallShare) {
   ColdReplicaKnobs knobs;
   knobs.sharing = ColdSharing::StaticShares;
   nodes.clear();
@@ -301,17 +300,17 @@
   }
   int all = 0;
   for (std::uint64_t life = 1; life <= 50; ++life) {
-    begin(knobs, life * 7919);
-    settle();
+    startRule(knobs, life * 7919);
+    runUntilStateIsKnown();
     registers(seconds(60));
     all += sendFor(seconds(2));
   }
-  // 0.12 of 42.5 in each of 4 slots among 10 nodes, for 50 of them: 102.
+  // Expected: 0.12 x 42.5 / 10 nodes, in each of 4 slots, for 50 nodes: 102.
   CHECK_COMPARE(all, >, 70);
   CHECK_COMPARE(all, <, 135);
 }
 
-TEST(ColdReplicaRule, tellsEachChangeOnce) {
+TEST(ColdReplicaRule, reportsEachChangeOnce) {
   replica->entry.coldFor = seconds(2);
   rule->onRegistration(*replica, false, now);
   LONGS_EQUAL(1, rule->tend({replica}, now).size());
@@ -324,17 +323,17 @@
   LONGS_EQUAL(0, rule->coldReplicas());
 }
 
-TEST(ColdReplicaRule, forgetsReplicasThatAreGone) {
+TEST(ColdReplicaRule, dropsRemovedReplicas) {
   registers(seconds(60));
   LONGS_EQUAL(1, rule->coldReplicas());
   rule->tend({}, now);
   LONGS_EQUAL(0, rule->coldReplicas());
 }
 
-// After a loss of all nodes clients come to any of them, not only to those that usually take them.
-TEST(ColdReplicaRule, processesThatStartTogetherKeepTheLimitAmongAllMembers) {
+// After a restart of all nodes, clients may connect to any of them.
+TEST(ColdReplicaRule, processesThatStartTogetherKeepTheLimit) {
   constexpr int kNodes = 40;
-  service.coldRequestsPerSecond = 4;  // 11 in a second are allowed.
+  service.coldRequestsPerSecond = 4;  // The limit is 11 per second.
   nodes.assign(16, "a");
   members.clear();
   for (int node = 0; node < kNodes; ++node) {
@@ -354,17 +353,17 @@
     sent += sendFor(seconds(3));
     now = start;
   }
-  // Four of the forty, in three slots each.
+  // Four of 40 nodes, in three slots each.
   CHECK(sent > 0 && sent <= 12);
 }
 
-// The processes of a node share its place among the owners, and know nothing of each other.
-TEST(ColdReplicaRule, whatSuccessiveProcessesSendUnsureLiesASecondApart) {
+// Guards against bursts from successive processes of one node, which share no state.
+TEST(ColdReplicaRule, requestsOfSuccessiveProcessesInUnknownStateAreASecondApart) {
   for (int life = 0; life < 200; ++life) {
     replica->entry.id = "i-" + std::to_string(life);
     std::optional<Instant> sentAt;
     for (int process = 0; process < 5; ++process) {
-      begin({}, static_cast<std::uint64_t>(life * 5 + process));
+      startRule({}, static_cast<std::uint64_t>(life * 5 + process));
       rule->tend({replica}, now);
       const Instant end = now + milliseconds(250 + 190 * ((life + process) % 8));
       for (; now < end; now += milliseconds(10)) {
@@ -379,11 +378,11 @@
   }
 }
 
-// Answers of the store that come late make it sure for a moment each.
-TEST(ColdReplicaRule, aNodeThatKnowsNowAndThenStillSpacesWhatItSendsUnsure) {
-  begin({});
+// Late responses of the store make the state known only for a moment.
+TEST(ColdReplicaRule, spacesRequestsInUnknownStateAcrossShortPeriodsOfKnownState) {
+  startRule({});
   rule->onEvacuationsListed(now - seconds(60));
-  waitUntilMayGet();
+  waitUntilEligible();
   rule->onSent(*replica, now);
   rule->onFresh(now - milliseconds(2990));
   rule->onEvacuationsFresh(now - milliseconds(2990));
@@ -395,29 +394,30 @@
   LONGS_EQUAL(0, sendFor(milliseconds(970)));
 }
 
-TEST(ColdReplicaRule, aProcessThatKnowsNoMemberSendsNearlyNothing) {
+TEST(ColdReplicaRule, aProcessWithoutAMemberListSendsAlmostNothing) {
   nodes.clear();
   members.clear();
-  begin({});
+  startRule({});
   rule->tend({replica}, now);
   CHECK(sendFor(seconds(1)) <= 1);
 }
 
-TEST(ColdReplicaRule, tellsByWhatItAllowsARequest) {
+TEST(ColdReplicaRule, namesTheLimitThatAdmitsARequest) {
   registers(Duration::zero());
   STRCMP_EQUAL("", std::string(rule->grantNameOf(*replica, now)).c_str());
   registers(seconds(60));
-  STRCMP_EQUAL("", std::string(rule->grantNameOf(*replica, now)).c_str());  // It may not get one.
+  STRCMP_EQUAL("",
+               std::string(rule->grantNameOf(*replica, now)).c_str());  // No request is admitted.
   now += seconds(1);
-  hear();
+  readStore();
   STRCMP_EQUAL("cold_feeder", std::string(rule->grantNameOf(*replica, now)).c_str());
-  begin({});
-  waitUntilMayGet();
+  startRule({});
+  waitUntilEligible();
   STRCMP_EQUAL("cold_unsure", std::string(rule->grantNameOf(*replica, now)).c_str());
   LONGS_EQUAL(1, rule->limitedReplicas());
 }
 
-TEST(ColdReplicaRule, tellsWhenThisNodeBecomesAFeederAndWhenItIsNoneAnyMore) {
+TEST(ColdReplicaRule, reportsWhenThisNodeBecomesOrStopsBeingASender) {
   nodes = {"b"};
   replica->entry.coldFor = seconds(60);
   rule->onRegistration(*replica, false, now);
--- a/tests/routing/evacuation_test.cpp
+++ b/tests/routing/evacuation_test.cpp
@@ -1,4 +1,4 @@
-// Evacuated zones: read from records, taken back by a record or by its absence from a listing.
+// Evacuated zones, and their end by a removed record or by absence from a complete listing.
 #include "routing/evacuation.h"
 
 #include <CppUTest/TestHarness.h>
@@ -18,38 +18,38 @@
   }
 };
 
-TEST(Evacuation, barsEveryReplicaBeforeTheFirstWholeListing) {
+TEST(Evacuation, excludesEveryReplicaBeforeTheFirstCompleteListing) {
   CHECK(ExclusionReason::EvacuationUnknown == barOf("a").value());
-  CHECK_TRUE(table.onEvacuated("a", now));  // A page of the listing is not the whole of it.
+  CHECK_TRUE(table.onEvacuated("a", now));  // One page is not a complete listing.
   CHECK(ExclusionReason::EvacuationUnknown == barOf("b").value());
   CHECK_TRUE(table.onListed({"a"}).empty());
   CHECK(ExclusionReason::ZoneEvacuated == barOf("a").value());
   CHECK_FALSE(barOf("b").has_value());
 }
 
-TEST(Evacuation, barsSeveralZonesAndFreesEachByItsOwnRecord) {
+TEST(Evacuation, excludesSeveralZonesAndEndsEachByItsOwnRecord) {
   table.onListed({});
   table.onEvacuated("a", now);
   table.onEvacuated("b", now);
-  CHECK_FALSE(table.onEvacuated("a", now + seconds(1)));  // Written once more: nothing new.
+  CHECK_FALSE(table.onEvacuated("a", now + seconds(1)));  // A repeated record.
   CHECK_TRUE(table.onTakenBack("a"));
   CHECK_FALSE(table.onTakenBack("a"));
   CHECK_FALSE(barOf("a").has_value());
   CHECK(ExclusionReason::ZoneEvacuated == barOf("b").value());
 }
 
-TEST(Evacuation, takesAZoneThatAWholeListingLeavesOutAsTakenBack) {
+TEST(Evacuation, endsTheEvacuationOfAZoneThatACompleteListingOmits) {
   table.onListed({});
   table.onEvacuated("a", now);
   table.onEvacuated("b", now);
-  const std::vector<std::string> takenBack = table.onListed({"b", "c"});
-  LONGS_EQUAL(1, takenBack.size());
-  STRCMP_EQUAL("a", takenBack.front().c_str());
+  const std::vector<std::string> ended = table.onListed({"b", "c"});
+  LONGS_EQUAL(1, ended.size());
+  STRCMP_EQUAL("a", ended.front().c_str());
   CHECK_FALSE(barOf("a").has_value());
   CHECK(ExclusionReason::ZoneEvacuated == barOf("b").value());
 }
 
-TEST(Evacuation, remembersSinceWhenItKnows) {
+TEST(Evacuation, keepsTheTimeOfTheFirstRecord) {
   table.onEvacuated("a", now);
   table.onEvacuated("a", now + seconds(3));
   CHECK(now == table.zones().at("a"));
--- a/tests/routing/fleet_load_test.cpp
+++ b/tests/routing/fleet_load_test.cpp
@@ -1,4 +1,4 @@
-// Sums of other nodes' loads: newest digest counts, silent nodes do not, parts are scaled up.
+// Sums of other nodes' loads: latest digests, expiry, and extrapolation from partial reports.
 #include "routing/fleet_load.h"
 
 #include <CppUTest/TestHarness.h>
@@ -19,7 +19,8 @@
     table.upsert(entry);
     replica = table.ofService("s").front();
   }
-  void hear(std::uint64_t node, std::uint64_t beat, std::uint16_t inFlight, RegionHash region = 0) {
+  void receiveDigest(std::uint64_t node, std::uint64_t beat, std::uint16_t inFlight,
+                     RegionHash region = 0) {
     load.onDigest({node, beat, {{replicaHashOf("a"), inFlight}}, {}, region}, now);
   }
   double others(std::size_t otherNodes) {
@@ -28,15 +29,15 @@
   }
 };
 
-TEST(FleetLoad, sumsTheNewestDigestOfEachNode) {
-  hear(1, 1, 3);
-  hear(2, 1, 4);
-  hear(1, 2, 5);
-  hear(1, 1, 9);  // Overtaken on the way.
+TEST(FleetLoad, sumsTheLatestDigestOfEachNode) {
+  receiveDigest(1, 1, 3);
+  receiveDigest(2, 1, 4);
+  receiveDigest(1, 2, 5);
+  receiveDigest(1, 1, 9);  // An older digest that arrives late.
   DOUBLES_EQUAL(9, others(2), 1e-9);
 }
 
-TEST(FleetLoad, sumsWhatFailedAtOtherNodes) {
+TEST(FleetLoad, sumsFailuresOfOtherNodes) {
   LoadDigest first{1, 1, {}, {{replicaHashOf("a"), 2.0, 5.0}}, 0};
   LoadDigest second{2, 1, {}, {{replicaHashOf("a"), 1.0, 3.0}}, 0};
   load.onDigest(first, now);
@@ -48,31 +49,31 @@
   DOUBLES_EQUAL(0, replica->failureShare(now), 1e-9);
 }
 
-TEST(FleetLoad, forgetsSilentNodes) {
-  hear(1, 1, 3);
+TEST(FleetLoad, dropsNodesWithoutRecentDigest) {
+  receiveDigest(1, 1, 3);
   now += FleetLoadKnobs{}.silence + milliseconds(1);
   DOUBLES_EQUAL(0, others(1), 1e-9);
 }
 
-TEST(FleetLoad, hearsARestartedNodeAfterItsSilence) {
-  hear(1, 100, 3);
+TEST(FleetLoad, acceptsARestartedNodeOnceItsDigestHasExpired) {
+  receiveDigest(1, 100, 3);
   now += FleetLoadKnobs{}.silence + milliseconds(1);
-  hear(1, 1, 2);
+  receiveDigest(1, 1, 2);
   DOUBLES_EQUAL(2, others(1), 1e-9);
 }
 
-TEST(FleetLoad, scalesWhatIsHeardUpToAllNodes) {
-  hear(1, 1, 2);
-  hear(2, 1, 2);
+TEST(FleetLoad, extrapolatesToAllNodes) {
+  receiveDigest(1, 1, 2);
+  receiveDigest(2, 1, 2);
   DOUBLES_EQUAL(20, others(10), 1e-9);
 }
 
-TEST(FleetLoad, scalesEachRegionByItself) {
+TEST(FleetLoad, extrapolatesEachRegionSeparately) {
   constexpr RegionHash kElsewhere = 7;
-  hear(1, 1, 3);
-  hear(2, 1, 3);
-  hear(3, 1, 1, kElsewhere);
-  // All near nodes were heard, and one of four far ones.
+  receiveDigest(1, 1, 3);
+  receiveDigest(2, 1, 3);
+  receiveDigest(3, 1, 1, kElsewhere);
+  // All near nodes have reported, and one of four far ones.
   load.apply(table, {2, 4}, now);
   DOUBLES_EQUAL(10, replica->othersInFlight, 1e-9);
 }
--- a/tests/routing/locality_test.cpp
+++ b/tests/routing/locality_test.cpp
@@ -1,4 +1,4 @@
-// Distances between zones, with one region, several, and zones that the table does not have.
+// Distances between zones with one region, with several regions, and for unknown zones.
 #include "routing/locality.h"
 
 #include <CppUTest/TestHarness.h>
@@ -17,14 +17,14 @@
   CHECK(Distance::SameRegion < Distance::OtherRegion);
 }
 
-TEST(Locality, nothingIsFarWhereThereIsOneRegion) {
+TEST(Locality, noZoneIsInAnotherRegionIfThereIsOne) {
   CHECK(Distance::SameRegion == one.between("a", "b"));
   CHECK(Distance::SameRegion == one.between("a", "unknown"));
   CHECK(Distance::SameRegion == ZoneTable().between("a", "b"));
   CHECK_FALSE(one.hasSeveralRegions());
 }
 
-TEST(Locality, anUnknownZoneIsFarAndInNoRegion) {
+TEST(Locality, anUnknownZoneIsInNoRegion) {
   CHECK(Distance::OtherRegion == several.between("wa", "unknown"));
   CHECK(Distance::OtherRegion == several.between("unknown", "unheard-of"));
   CHECK_FALSE(several.isIn("unknown", {"west", "east", "north"}));
--- a/tests/routing/member_ring_test.cpp
+++ b/tests/routing/member_ring_test.cpp
@@ -1,4 +1,4 @@
-// Which members share a key, as each of them sees it.
+// Ownership of keys as computed by each member.
 #include "routing/member_ring.h"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
 
 std::string keyOf(int number) { return "i-" + std::to_string(number); }
 
-/// Everybody's ring over one list.
+/// The ring of each member, built from the same list.
 std::map<std::string, MemberRing> ringsOver(const std::vector<RingMember>& members) {
   std::map<std::string, MemberRing> rings;
   for (const RingMember& member : members) {
@@ -31,7 +31,7 @@
   return rings;
 }
 
-/// \return who takes the key for its own.
+/// \return the members that consider themselves owners of the key.
 std::set<std::string> ownersOf(const std::string& key,
                                const std::map<std::string, MemberRing>& rings, std::size_t count) {
   std::set<std::string> owners;
@@ -47,33 +47,33 @@
 
 TEST_GROUP(MemberRing){};
 
-TEST(MemberRing, aKeyHasNoMoreOwnersThanAskedForAndOneAtLeast) {
+TEST(MemberRing, aKeyHasAtLeastOneOwnerAndAtMostTheRequestedCount) {
   const auto rings = ringsOver(membersUpTo(40));
-  std::size_t ofNine = 0;
+  std::size_t ownersOfNinePoints = 0;
   for (int number = 0; number < 100; ++number) {
     LONGS_EQUAL(1, ownersOf(keyOf(number), rings, 1).size());
     LONGS_EQUAL(0, ownersOf(keyOf(number), rings, 0).size());
     const std::size_t owners = ownersOf(keyOf(number), rings, 9).size();
     CHECK(owners >= 1 && owners <= 9);
-    ofNine += owners;
+    ownersOfNinePoints += owners;
   }
-  CHECK_COMPARE(ofNine, >, 7U * 100);  // Some points of a key have the same owner.
+  CHECK_COMPARE(ownersOfNinePoints, >, 7U * 100);  // Some points of a key have the same owner.
 }
 
-TEST(MemberRing, keysSpreadEvenlyOverTheMembers) {
+TEST(MemberRing, distributesKeysEvenly) {
   const auto rings = ringsOver(membersUpTo(20));
   for (const auto& [member, ring] : rings) {
     int owned = 0;
     for (int number = 0; number < 1000; ++number) {
       owned += ring.isOwnerOf(keyOf(number), 2) ? 1 : 0;
     }
-    CHECK_COMPARE(owned, >, 45);  // 100 each.
+    CHECK_COMPARE(owned, >, 45);  // The mean is 100.
     CHECK_COMPARE(owned, <, 185);
   }
 }
 
-// Lists that were read at different moments differ in members that came or went.
-TEST(MemberRing, twoListsGiveAKeyTwiceAsManyOwnersAtMost) {
+// Lists read at different times differ in members that joined or left.
+TEST(MemberRing, twoListsAtMostDoubleTheOwners) {
   const std::vector<RingMember> members = membersUpTo(40);
   const auto rings = ringsOver(members);
   const auto ofHalf = ringsOver({members.begin(), members.begin() + 20});
@@ -84,7 +84,7 @@
   }
 }
 
-TEST(MemberRing, whoIsNotListedOwnsNothing) {
+TEST(MemberRing, aNodeThatIsNotListedOwnsNothing) {
   MemberRing ring;
   CHECK_FALSE(ring.isOwnerOf("i-1", 9));
   ring.update(membersUpTo(3), "10.9.9.9:8149");
@@ -99,7 +99,7 @@
   }
 }
 
-TEST(MemberRing, aMemberThatIsListedTwiceCountsOnce) {
+TEST(MemberRing, aDuplicateMemberCountsOnce) {
   const std::vector<RingMember> members = membersUpTo(4);
   std::vector<RingMember> twice = members;
   twice.insert(twice.end(), members.begin(), members.end());
@@ -109,8 +109,8 @@
   }
 }
 
-// Clients are sent to the members that can carry most.
-TEST(MemberRing, aMemberOwnsKeysByItsWeight) {
+// Weights follow client traffic.
+TEST(MemberRing, ownsKeysInProportionToWeight) {
   std::vector<RingMember> members = membersUpTo(20);
   for (std::size_t number = 0; number < members.size(); ++number) {
     members[number].weight = number < 4 ? 0.3 : 0.0036;
@@ -129,7 +129,7 @@
   CHECK_COMPARE(ofOthers, >, 0);
 }
 
-TEST(MemberRing, membersWithoutAnyWeightShareAlike) {
+TEST(MemberRing, membersWithZeroWeightShareEqually) {
   std::vector<RingMember> members = membersUpTo(3);
   for (RingMember& member : members) {
     member.weight = 0;
--- a/tests/routing/region_policy_test.cpp
+++ b/tests/routing/region_policy_test.cpp
@@ -1,4 +1,4 @@
-// Limits of routes and tenants: either, both, none in common, and regions that do not exist.
+// Region limits of routes and tenants: either, both, an empty intersection, and unknown regions.
 #include "routing/region_policy.h"
 
 #include <memory>
@@ -43,13 +43,13 @@
   }
 };
 
-TEST(RegionPolicy, limitsNothingWhereNeitherRouteNorTenantDoes) {
+TEST(RegionPolicy, setsNoLimitIfNeitherRouteNorTenantDoes) {
   const RegionPolicy policy = make();
   POINTERS_EQUAL(nullptr, policy.placesOf(configuration.routes[0], nullptr));
   POINTERS_EQUAL(nullptr, policy.placesOf(configuration.routes[0], tenantOf("free")));
 }
 
-TEST(RegionPolicy, takesTheLimitOfTheOneThatHasOne) {
+TEST(RegionPolicy, appliesTheOnlyLimitThatIsSet) {
   const RegionPolicy policy = make();
   CHECK(policy.placesOf(configuration.routes[1], nullptr)->regions == (RegionSet{"east", "west"}));
   CHECK(policy.placesOf(configuration.routes[1], tenantOf("free"))->zones ==
@@ -58,7 +58,7 @@
         (RegionSet{"north", "west"}));
 }
 
-TEST(RegionPolicy, bothLimitsBindWhereBothAreSet) {
+TEST(RegionPolicy, appliesBothLimits) {
   const RegionPolicy policy = make();
   CHECK(policy.placesOf(configuration.routes[1], tenantOf("limited"))->regions ==
         RegionSet{"west"});
@@ -66,7 +66,7 @@
         RegionSet{"north"});
 }
 
-TEST(RegionPolicy, aLimitOnNothingInCommonAllowsNothingRatherThanEverything) {
+TEST(RegionPolicy, anEmptyIntersectionAllowsNothing) {
   setTenants({"north"});
   const RegionPolicy policy = make();
   const AllowedPlaces* const places = policy.placesOf(configuration.routes[1], tenantOf("limited"));
@@ -74,7 +74,7 @@
   CHECK_TRUE(places->regions.empty());
 }
 
-TEST(RegionPolicy, aRegionThatDoesNotExistMakesTheConfigurationInvalid) {
+TEST(RegionPolicy, rejectsAConfigurationWithAnUnknownRegion) {
   addRoute("wrong", "h", {"west", "wset"});
   const auto ofRoute = RegionPolicy::make(configuration, zones, "wb");
   CHECK(ErrorKind::InvalidBundle == errorOf(ofRoute).kind);
@@ -85,7 +85,7 @@
   STRCMP_CONTAINS("tenant limited", errorOf(ofTenant).field.c_str());
 }
 
-TEST(RegionPolicy, aLimitOnAllRegionsLetsTextStandAnywhere) {
+TEST(RegionPolicy, aLimitToAllRegionsDoesNotLimitStorage) {
   addRoute("wide", "h", {"west", "east", "north"});
   const RegionPolicy policy = make();
   const AllowedPlaces* const places = policy.placesOf(configuration.routes.back(), nullptr);
@@ -93,20 +93,20 @@
   CHECK_TRUE(places->zones.empty());
 }
 
-TEST(RegionPolicy, aHostAllowsTheRegionsOfAllItsLimitedRoutes) {
+TEST(RegionPolicy, aHostAllowsTheUnionOfItsLimitedRoutes) {
   const RegionPolicy policy = make();
   POINTERS_EQUAL(nullptr, policy.regionsOfHost("free.example"));
   CHECK(*policy.regionsOfHost("BOTH.example") == (RegionSet{"east", "north", "west"}));
 }
 
-TEST(RegionPolicy, routesOfOneNameKeepTheirOwnLimits) {
+TEST(RegionPolicy, routesWithTheSameNameKeepTheirOwnLimits) {
   addRoute("limited", "else.example", {"north"});
   const RegionPolicy policy = make();
   CHECK(policy.placesOf(configuration.routes[1], nullptr)->regions == (RegionSet{"east", "west"}));
   CHECK(policy.placesOf(configuration.routes.back(), nullptr)->regions == RegionSet{"north"});
 }
 
-TEST(RegionPolicy, aLimitThatItDoesNotKnowAllowsNothing) {
+TEST(RegionPolicy, anUnknownLimitAllowsNothing) {
   const RegionPolicy policy = make();
   Route unknown = configuration.routes[1];
   unknown.host = "unheard.example";
--- a/tests/routing/region_rule_test.cpp
+++ b/tests/routing/region_rule_test.cpp
@@ -1,4 +1,4 @@
-// Requests are kept from replicas outside their regions, and told the reason that counts.
+// Exclusion of replicas outside the allowed regions, and the reason reported for a refusal.
 #include "routing/region_rule.h"
 
 #include "routing/evacuation.h"
@@ -45,7 +45,7 @@
   }
 };
 
-TEST(RegionRule, allowsOnlyReplicasOfTheRegions) {
+TEST(RegionRule, allowsOnlyReplicasInAllowedRegions) {
   CHECK_FALSE(barOf("wa", &west).has_value());
   CHECK(ExclusionReason::RegionNotAllowed == barOf("ea", &west).value());
   CHECK(ExclusionReason::RegionNotAllowed == barOf("unknown", &west).value());
@@ -53,20 +53,20 @@
   CHECK_FALSE(barOf("unknown", nullptr).has_value());
 }
 
-TEST(RegionRule, aRequestGoesFarWhereOnlyThatIsAllowed) {
+TEST(RegionRule, usesARemoteReplicaIfOnlyItsRegionIsAllowed) {
   add("near", "ea");
   const ReplicaPtr far = add("far", "wa");
   POINTERS_EQUAL(far.get(), std::get<Placed>(place(&west)).replica.get());
 }
 
-TEST(RegionRule, isTheReasonWhereNoReplicaOfTheRegionsIsLeft) {
+TEST(RegionRule, isReportedIfTheAllowedRegionsHaveNoReplica) {
   add("near", "ea");
   const auto refused = std::get<NoReplica>(place(&west));
   CHECK(ExclusionReason::RegionNotAllowed == refused.bar.value());
   CHECK(refused.retryAfter > Duration::zero());
 }
 
-TEST(RegionRule, isNoReasonWhereAnotherRuleKeepsTheRegionsReplicasBack) {
+TEST(RegionRule, isNotReportedIfAnotherRuleExcludesTheAllowedReplicas) {
   for (int replica = 0; replica < 5; ++replica) {
     add("near" + std::to_string(replica), "ea");
   }
--- a/tests/routing/replica_life_test.cpp
+++ b/tests/routing/replica_life_test.cpp
@@ -1,5 +1,5 @@
-// Lives of one id: a later start ends what is known of the earlier one, in the table, in digests
-// and in the rule for cold replicas; an earlier start that comes late changes nothing.
+// Incarnations of one id: no state survives a restart in the table, in digests or in the rule for
+// cold replicas, and a late entry of an earlier incarnation is ignored.
 #include "routing/replica_life.h"
 
 #include <memory>
@@ -50,7 +50,7 @@
   }
 };
 
-TEST(ReplicaLife, startsAreOrderedOnlyWhereBothAreTold) {
+TEST(ReplicaLife, startsAreOrderedOnlyIfBothAreKnown) {
   const ReplicaStart first(kFirstStart);
   const ReplicaStart second(kSecondStart);
   CHECK(compareIncarnations(first, second) == IncarnationOrder::Later);
@@ -60,14 +60,14 @@
   CHECK(compareIncarnations(first, {}) == IncarnationOrder::Same);
 }
 
-TEST(ReplicaLife, aStartIsPlacedOnThisNodesClock) {
+TEST(ReplicaLife, convertsAStartToThisNodesClock) {
   const ReplicaStart start(kFirstStart);
   CHECK(lifeBeganAt(start, kFirstStart + 5000, now) == now - seconds(5) - kMaxClockSkew);
-  // A clock that runs ahead: not later than now.
+  // The replica's clock is ahead: the result is not later than now.
   CHECK(lifeBeganAt(start, kFirstStart - 5000, now) == now - kMaxClockSkew);
 }
 
-TEST(ReplicaLife, aStartFarAheadOfThisNodesClockIsNone) {
+TEST(ReplicaLife, rejectsAStartFarAheadOfThisNodesClock) {
   const std::uint64_t lead = 60'000;
   CHECK_TRUE(isPlausible(ReplicaStart(kFirstStart), kFirstStart));
   CHECK_TRUE(isPlausible(ReplicaStart(kFirstStart + lead), kFirstStart));
@@ -76,7 +76,7 @@
   CHECK_TRUE(isPlausible(ReplicaStart(0), kFirstStart));
 }
 
-TEST(ReplicaLife, aLaterStartBeginsWithNothingOfTheEarlierOne) {
+TEST(ReplicaLife, aRestartedReplicaHasNoEarlierState) {
   table.upsert(entryOf(kFirstStart));
   const ReplicaPtr earlier = only();
   earlier->inFlight = 3;
@@ -108,11 +108,11 @@
   CHECK(later->coldUntil == Instant{});
   CHECK_FALSE(later->isResponsive);
   DOUBLES_EQUAL(0, later->answerMilliseconds, 1e-9);
-  --earlier->inFlight;  // A request of the earlier life ends.
+  --earlier->inFlight;  // A request at the earlier incarnation ends.
   LONGS_EQUAL(0, later->inFlight);
 }
 
-TEST(ReplicaLife, theSameStartIsTheSameLife) {
+TEST(ReplicaLife, theSameStartIsTheSameIncarnation) {
   table.upsert(entryOf(kFirstStart));
   const ReplicaPtr replica = only();
   CHECK(table.upsert(entryOf(kFirstStart)) == ReplicaChange::None);
@@ -120,7 +120,7 @@
   CHECK(only() == replica);
 }
 
-TEST(ReplicaLife, aRestartElsewhereHasTheNewAddressAndZoneAlone) {
+TEST(ReplicaLife, aRestartElsewhereReplacesAddressAndZone) {
   table.upsert(entryOf(kFirstStart));
   const ReplicaPtr earlier = only();
   CHECK(table.upsert(entryOf(kSecondStart, "10.0.0.2:80", "y")) == ReplicaChange::Restarted);
@@ -129,7 +129,7 @@
   STRCMP_EQUAL("10.0.0.1:80", earlier->entry.address.c_str());
 }
 
-TEST(ReplicaLife, anEntryOfAnEarlierLifeTakesNothingBack) {
+TEST(ReplicaLife, ignoresAnEntryOfAnEarlierIncarnation) {
   table.upsert(entryOf(kSecondStart, "10.0.0.2:80"));
   const ReplicaPtr replica = only();
   table.doubt("a", now);
@@ -143,7 +143,7 @@
   LONGS_EQUAL(1, table.outdatedEntries());
 }
 
-TEST(ReplicaLife, twoNodesEndWithTheSameLifeInWhicheverOrderTheyRead) {
+TEST(ReplicaLife, theReadingOrderDoesNotChangeTheFinalIncarnation) {
   ReplicaTable other;
   table.upsert(entryOf(kFirstStart, "10.0.0.1:80"));
   table.upsert(entryOf(kSecondStart, "10.0.0.2:80"));
@@ -153,7 +153,7 @@
   STRCMP_EQUAL("10.0.0.2:80", other.find("a")->entry.address.c_str());
 }
 
-TEST(ReplicaLife, drainingBeforeAndReadyAfter) {
+TEST(ReplicaLife, aDrainingReplicaIsReadyAfterARestart) {
   ReplicaEntry leaving = entryOf(kFirstStart);
   leaving.draining = true;
   table.upsert(leaving);
@@ -164,7 +164,7 @@
   CHECK_FALSE(only()->acceptsRequests());
 }
 
-TEST(ReplicaLife, aDoubtedReplicaThatStartsAgainIsSound) {
+TEST(ReplicaLife, aRestartEndsTheGracePeriod) {
   table.upsert(entryOf(kFirstStart));
   table.doubt("a", now);
   table.upsert(entryOf(kSecondStart));
@@ -172,7 +172,7 @@
   CHECK_FALSE(only()->graceUntil.has_value());
 }
 
-TEST(ReplicaLife, anIdWithoutAStartHasOneLife) {
+TEST(ReplicaLife, anIdWithoutAStartHasOneIncarnation) {
   table.upsert(entryOf({}));
   const ReplicaPtr replica = only();
   CHECK(table.upsert(entryOf(kFirstStart)) == ReplicaChange::None);
@@ -180,7 +180,7 @@
   CHECK(table.upsert(entryOf(kSecondStart)) == ReplicaChange::Restarted);
 }
 
-TEST(ReplicaLife, anIdThatStopsTellingItsStartKeepsTheOneThatItTold) {
+TEST(ReplicaLife, anIdKeepsItsLastKnownStart) {
   table.upsert(entryOf(kSecondStart));
   CHECK_FALSE(only()->startUntold);
   CHECK(table.upsert(entryOf({})) == ReplicaChange::None);
@@ -190,7 +190,7 @@
   CHECK_FALSE(only()->startUntold);
 }
 
-TEST(ReplicaLife, anEarlierLifeDoesNotComeBackAfterTheIdWasRemoved) {
+TEST(ReplicaLife, aRemovedIdDoesNotReturnToAnEarlierIncarnation) {
   table.upsert(entryOf(kSecondStart));
   const ReplicaPtr earlier = only();
   table.remove("a");
@@ -202,7 +202,7 @@
   CHECK(table.upsert(entryOf(kThirdStart)) == ReplicaChange::Restarted);
 }
 
-TEST(ReplicaLife, requestsOfARemovedReplicaLearnThatItsProcessStartedAgain) {
+TEST(ReplicaLife, aRemovedReplicaEndsWhenItsProcessRestarts) {
   table.upsert(entryOf(kFirstStart));
   const ReplicaPtr earlier = only();
   table.remove("a");
@@ -210,7 +210,7 @@
   CHECK_TRUE(earlier->hasEnded());
 }
 
-TEST(ReplicaLife, requestsAreAtTheLifeThatTheyWereSentTo) {
+TEST(ReplicaLife, attributesRequestsToTheIncarnationThatReceivedThem) {
   table.upsert(entryOf(kFirstStart));
   const ReplicaPtr first = only();
   table.upsert(entryOf(kSecondStart), now);
@@ -223,7 +223,7 @@
   CHECK_TRUE(second->hasEnded());
 }
 
-TEST(ReplicaLife, theOldestDepartedIdsAreForgotten) {
+TEST(ReplicaLife, dropsTheOldestDepartedIds) {
   DepartedReplicas departed;
   for (std::size_t number = 0; number < DepartedReplicas::kMaxDeparted + 10; ++number) {
     departed.insert(std::to_string(number), {ReplicaStart(number), {}});
@@ -236,7 +236,7 @@
   CHECK(departed.find("10") == nullptr);
 }
 
-TEST(ReplicaLife, whatOtherNodesToldOfAnEarlierLifeDoesNotCountForTheLaterOne) {
+TEST(ReplicaLife, ignoresDigestsAboutAnEarlierIncarnation) {
   FleetLoad load{{}};
   table.upsert(entryOf(kFirstStart));
   const ReplicaHash earlier = replicaHashOf("a", ReplicaStart(kFirstStart));
@@ -251,7 +251,7 @@
   DOUBLES_EQUAL(0, only()->failureShare(now), 1e-9);
 }
 
-TEST(ReplicaLife, anEvacuatedZoneHoldsForTheLifeThatIsThere) {
+TEST(ReplicaLife, anEvacuationAppliesToTheIncarnationInTheZone) {
   EvacuationTable evacuations;
   EvacuationRule rule(evacuations, {});
   evacuations.onEvacuated("z", now);
@@ -298,28 +298,29 @@
   std::size_t changes() { return rule->tend(table.all(), now).size(); }
 };
 
-TEST(ColdReplicaLife, aWarmReplicaThatStartsAgainIsCold) {
+TEST(ColdReplicaLife, aWarmReplicaIsColdAfterARestart) {
   registers(kFirstStart, Duration::zero());
   CHECK_FALSE(rule->isCold(*table.find("a"), now));
-  // Its registration says nothing of it: taken for cold for as long as its service's replicas are.
+  // Its registration does not report its state, so the service's cold time applies.
   registers(kSecondStart, std::nullopt);
   CHECK_TRUE(rule->isCold(*table.find("a"), now));
 }
 
-TEST(ColdReplicaLife, theRateOfTheEarlierLifeIsNotTheLaterOnes) {
+TEST(ColdReplicaLife, aRestartedReplicaGetsNewTokenBuckets) {
   registers(kFirstStart, seconds(3));
   LONGS_EQUAL(1, changes());
   now += milliseconds(900);
-  CHECK_FALSE(rule->barOf(*table.find("a"), {}, now).has_value());  // A token has gathered.
+  CHECK_FALSE(
+      rule->barOf(*table.find("a"), {}, now).has_value());  // The bucket has gained a token.
   registers(kSecondStart, seconds(3));
   CHECK_TRUE(rule->barOf(*table.find("a"), {}, now).has_value());
-  LONGS_EQUAL(1, changes());  // Told again: another life is cold.
+  LONGS_EQUAL(1, changes());  // Reported again for the new incarnation.
   CHECK_TRUE(rule->barOf(*table.find("a"), {}, now).has_value());
   now += milliseconds(900);
   CHECK_FALSE(rule->barOf(*table.find("a"), {}, now).has_value());
 }
 
-TEST(ColdReplicaLife, aNodeThatDoesNotKnowTrustsNoLaterLife) {
+TEST(ColdReplicaLife, aRestartedReplicaIsNotResponsiveInUnknownState) {
   const ReplicaPtr earlier = registers(kFirstStart, Duration::zero());
   earlier->heardAt = now;
   changes();
--- a/tests/routing/replica_placement_test.cpp
+++ b/tests/routing/replica_placement_test.cpp
@@ -1,4 +1,4 @@
-// The one step by which a request comes to a replica: rules, admission, and why there is none.
+// Placement of requests: rules, admission control, overflow and reported reasons.
 #include "routing/replica_placement.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// Keeps requests from the replicas of one zone.
+/// Excludes the replicas of one zone.
 class ZoneRule final : public PlacementRule {
  public:
   ZoneRule(std::string zone, ExclusionReason bar, Duration retryAfter)
@@ -30,7 +30,7 @@
   Duration retryAfter(ExclusionReason /*bar*/) const override { return retryAfter_; }
 
   int sent = 0;
-  mutable std::map<std::string, int> asked;  ///< By the replica's id.
+  mutable std::map<std::string, int> asked;  ///< Number of calls, by replica id.
 
  private:
   std::string zone_;
@@ -66,7 +66,7 @@
   }
 };
 
-TEST(ReplicaPlacement, choosesOnlyReplicasThatAllRulesAllow) {
+TEST(ReplicaPlacement, choosesOnlyReplicasAllowedByAllRules) {
   add("near", "a");
   add("cold", "b");
   const ReplicaPtr far = add("far", "c");
@@ -74,7 +74,7 @@
   POINTERS_EQUAL(far.get(), std::get<Placed>(found).replica.get());
 }
 
-TEST(ReplicaPlacement, namesTheRuleThatKeptMostReplicasBackAndWhenToComeAgain) {
+TEST(ReplicaPlacement, reportsTheRuleThatExcludedMostReplicasAndItsRetryDelay) {
   add("a1", "a");
   add("a2", "a");
   add("b1", "b");
@@ -83,13 +83,13 @@
   CHECK(milliseconds(700) == none.retryAfter);
 }
 
-TEST(ReplicaPlacement, namesNoRuleWhereReplicasOnlyLeave) {
+TEST(ReplicaPlacement, reportsNoRuleIfReplicasAreOnlyDraining) {
   add("a1", "c")->entry.draining = true;
   const auto none = std::get<NoReplica>(placement.place(query(), now));
   CHECK_FALSE(none.bar.has_value());
 }
 
-TEST(ReplicaPlacement, bindsTheReplicaWhereAStreamWouldGoOnByTheSameRules) {
+TEST(ReplicaPlacement, appliesTheSameRulesToResumedStreams) {
   const ReplicaPtr evacuated = add("a1", "a");
   const ReplicaPtr leaving = add("c1", "c");
   const ReplicaPtr free = add("c2", "c");
@@ -99,47 +99,41 @@
   CHECK_FALSE(placement.barOf(*free, {}, now).has_value());
 }
 
-TEST(ReplicaPlacement, tellsAllRulesOfWhatWasSent) {
+TEST(ReplicaPlacement, notifiesAllRulesOfSentRequests) {
   const ReplicaPtr free = add("c1", "c");
   placement.onSent(*free, now);
   LONGS_EQUAL(1, first.sent);
   LONGS_EQUAL(1, second.sent);
 }
 
-TEST(ReplicaPlacement, asksAdmissionOnlyForWorkThatMayBeTurnedAway) {
+TEST(ReplicaPlacement, appliesAdmissionControlOnlyIfRequested) {
   const ReplicaPtr busy = add("c1", "c");
   busy->inFlight = 40;
-  PlacementQuery beginning = query();
-  beginning.admission = AdmissionRequest{WorkStage::FirstTurn, 5};
-  CHECK(std::holds_alternative<PlacesTaken>(withoutRules.place(beginning, now)));
+  PlacementQuery firstTurnQuery = query();
+  firstTurnQuery.admission = AdmissionRequest{WorkStage::FirstTurn, 5};
+  CHECK(std::holds_alternative<PlacesTaken>(withoutRules.place(firstTurnQuery, now)));
   CHECK(std::holds_alternative<Placed>(withoutRules.place(query(), now)));
 }
 
-// Evacuated replicas are passed over in every placement, and where nothing is left the reason is
-// wanted too: rules that count or draw must not be asked more often for that.
-TEST(ReplicaPlacement, asksEachRuleOnceForEachReplica) {
+// Guards against evaluating a rule twice per replica, which would distort rules that count
+// requests.
+TEST(ReplicaPlacement, evaluatesEachRuleOncePerReplica) {
   add("a1", "a");
   add("b1", "b");
-  PlacementQuery kept = query();
-  kept.replica.affinityKey = "p1";
-  CHECK(std::holds_alternative<NoReplica>(placement.place(kept, now)));
+  PlacementQuery keyedQuery = query();
+  keyedQuery.replica.affinityKey = "p1";
+  CHECK(std::holds_alternative<NoReplica>(placement.place(keyedQuery, now)));
   LONGS_EQUAL(1, first.asked["a1"]);
   LONGS_EQUAL(1, first.asked["b1"]);
   LONGS_EQUAL(1, second.asked["b1"]);
   add("c1", "c");
-  CHECK(std::holds_alternative<Placed>(placement.place(kept, now)));
+  CHECK(std::holds_alternative<Placed>(placement.place(keyedQuery, now)));
   LONGS_EQUAL(2, first.asked["a1"]);
   LONGS_EQUAL(1, second.asked["c1"]);
 }
 
-// After a loss of all power, turns that go on from earlier ones were refused as often as they
-// asked, within 3 ms, while shorter requests were served. Admission was asked about one replica
-// alone, the cheapest one. Reading a long prompt elsewhere costs more than any queue, so for a
-// prompt of some thousand tokens that stayed the replica that its program prefers, also when it had
-// twice as much to do as it works on at once and others had nothing. In a day's log all 701
-// refusals named a replica with room, such as
-//   placement_refused stage=continuing prompt_tokens=6611 replica=i-bd1b119e9f load_percent=212
-//   least_load_percent=0
+// Guards against refusing a long turn because its cheapest replica, which caches the prompt, is
+// overloaded while other replicas are idle.
 TEST(ReplicaPlacement, aLongTurnGoesWhereThereIsRoomWhenTheReplicaOfItsProgramIsFull) {
   const ReplicaPtr one = add("r1", "a");
   const ReplicaPtr other = add("r2", "a");
@@ -149,7 +143,7 @@
   turn.admission = AdmissionRequest{WorkStage::Continuing, 1};
   const ReplicaPtr preferred = std::get<Placed>(withoutRules.place(turn, now)).replica;
   const ReplicaPtr idle = preferred == one ? other : one;
-  preferred->inFlight = 9;  // Slots: 4.
+  preferred->inFlight = 9;  // It has 4 slots.
   const Placement found = withoutRules.place(turn, now);
   CHECK_TRUE(std::holds_alternative<Placed>(found));
   POINTERS_EQUAL(idle.get(), std::get<Placed>(found).replica.get());
@@ -157,7 +151,7 @@
 
 namespace {
 
-/// \return a try of a turn that goes on with a long prompt. The names outlive it.
+/// \return an attempt of a continuing program with a long prompt. The arguments must outlive it.
 PlacementQuery longTurn(std::string_view program, std::string_view attempt) {
   PlacementQuery turn;
   turn.replica.service = "s";
@@ -171,65 +165,63 @@
 
 }  // namespace
 
-// The load of the seconds after a loss of all power, in 300 draws: prompts of some thousand tokens,
-// and replicas between idle and three times full, none of them with spare room for all. A program
-// asks 24 times at nodes that know nothing of each other, and is placed at one of the tries while
-// any replica admits first turns.
-TEST(ReplicaPlacement, noProgramIsRefusedAtAllItsTriesWhileFirstTurnsHaveRoom) {
+// Guards against refusing all attempts of a program under overload: one of 24 independent attempts
+// must be placed while any replica admits first turns.
+TEST(ReplicaPlacement, someAttemptOfAProgramIsPlacedWhileFirstTurnsAreAdmitted) {
   constexpr int kDraws = 300;
-  constexpr int kTries = 24;
+  constexpr int kAttempts = 24;
   constexpr AdmissionKnobs kKnobs;
   std::vector<ReplicaPtr> replicas;
-  for (int number = 0; number < 11; ++number) {
-    replicas.push_back(add("r" + std::to_string(number), "a"));
+  for (int index = 0; index < 11; ++index) {
+    replicas.push_back(add("r" + std::to_string(index), "a"));
   }
   RandomSource random(1);
   int refusedOnce = 0;
-  int refusedAtAll = 0;
-  int withoutRoom = 0;
+  int refusedAlways = 0;
+  int drawsWithoutCapacity = 0;
   for (int draw = 0; draw < kDraws; ++draw) {
-    bool hasRoom = false;
+    bool admitsFirstTurns = false;
     for (const ReplicaPtr& replica : replicas) {
       const bool isFull = random.below(10) < 7 || draw % 5 == 0;
       replica->inFlight = static_cast<std::uint32_t>(isFull ? 8 + random.below(5) : 3);
-      hasRoom = hasRoom || replica->loadPerSlot() < kKnobs.firstTurn;
+      admitsFirstTurns = admitsFirstTurns || replica->loadPerSlot() < kKnobs.firstTurn;
     }
     const std::string program = "program" + std::to_string(draw);
     int refused = 0;
-    for (int number = 0; number < kTries; ++number) {
-      const std::string attempt = program + "/" + std::to_string(number);
+    for (int index = 0; index < kAttempts; ++index) {
+      const std::string attempt = program + "/" + std::to_string(index);
       refused += isPlaced(withoutRules.place(longTurn(program, attempt), now)) ? 0 : 1;
     }
-    LONGS_EQUAL(hasRoom ? 0 : 1, refused == kTries ? 1 : 0);
+    LONGS_EQUAL(admitsFirstTurns ? 0 : 1, refused == kAttempts ? 1 : 0);
     refusedOnce += refused > 0 ? 1 : 0;
-    refusedAtAll += refused == kTries ? 1 : 0;
-    withoutRoom += hasRoom ? 0 : 1;
+    refusedAlways += refused == kAttempts ? 1 : 0;
+    drawsWithoutCapacity += admitsFirstTurns ? 0 : 1;
   }
-  LONGS_EQUAL(withoutRoom, refusedAtAll);
-  CHECK_TRUE(refusedOnce > 2 * withoutRoom && withoutRoom > 20);  // Each case was drawn.
+  LONGS_EQUAL(drawsWithoutCapacity, refusedAlways);
+  CHECK_TRUE(refusedOnce > 2 * drawsWithoutCapacity &&
+             drawsWithoutCapacity > 20);  // All cases occurred.
 }
 
-// A burst of programs beyond what the engines can do: every replica has more to do than half of its
-// slots. Prompts that are read anew elsewhere would take from all what the burst leaves, so three
-// of four tries wait for the replica that holds the prompt, and first turns do not fill the others.
-TEST(ReplicaPlacement, aBurstBeyondTheEnginesKeepsPromptsWhereTheyAre) {
+// Guards against reprocessing cached prompts during a burst without spare capacity: three of four
+// attempts are refused until their replica has room, and first turns do not overflow.
+TEST(ReplicaPlacement, aBurstWithoutSpareCapacityKeepsPromptsAtTheirReplica) {
   const ReplicaPtr one = add("r1", "a");
   const ReplicaPtr other = add("r2", "a");
   const ReplicaPtr preferred =
       std::get<Placed>(withoutRules.place(longTurn("program", "q"), now)).replica;
-  const ReplicaPtr dearer = preferred == one ? other : one;
+  const ReplicaPtr otherReplica = preferred == one ? other : one;
   preferred->inFlight = 9;
-  dearer->inFlight = 3;  // Of 4 slots.
-  constexpr int kTries = 400;
+  otherReplica->inFlight = 3;  // It has 4 slots too.
+  constexpr int kAttempts = 400;
   int refused = 0;
-  for (int number = 0; number < kTries; ++number) {
-    const std::string attempt = "q" + std::to_string(number);
+  for (int index = 0; index < kAttempts; ++index) {
+    const std::string attempt = "q" + std::to_string(index);
     PlacementQuery turn = longTurn("program", attempt);
     refused += isPlaced(withoutRules.place(turn, now)) ? 0 : 1;
     turn.admission->stage = WorkStage::FirstTurn;
     CHECK_FALSE(isPlaced(withoutRules.place(turn, now)));
   }
-  CHECK_TRUE(refused > kTries * 7 / 10 && refused < kTries * 8 / 10);
+  CHECK_TRUE(refused > kAttempts * 7 / 10 && refused < kAttempts * 8 / 10);
   PlacementQuery turn = longTurn("program", "q0");
   turn.admission->stage = WorkStage::FirstTurn;
   const auto taken = std::get<PlacesTaken>(withoutRules.place(turn, now));
@@ -237,11 +229,10 @@
   DOUBLES_EQUAL(0.75, taken.leastLoadPerSlot, 1e-9);
 }
 
-// Of 701 refusals of a day 349 were of first turns and 342 of programs near the end of their
-// budgets, beside replicas without work.
-TEST(ReplicaPlacement, noWorkIsRefusedWhileThereIsSpareRoom) {
-  for (int number = 0; number < 10; ++number) {
-    add("r" + std::to_string(number), "a");
+// Guards against refusing any program stage beside idle replicas.
+TEST(ReplicaPlacement, refusesNoRequestWhileThereIsSpareCapacity) {
+  for (int index = 0; index < 10; ++index) {
+    add("r" + std::to_string(index), "a");
   }
   PlacementQuery query = longTurn("program", "q");
   const ReplicaPtr preferred = std::get<Placed>(withoutRules.place(query, now)).replica;
@@ -252,12 +243,12 @@
   }
 }
 
-// One that is out of reach has little to do, too: a turn sent there would wait for its time limit
-// instead of being told at once to come back.
-TEST(ReplicaPlacement, aTurnWhoseReplicaIsFullDoesNotGoToOneThatLooksDeadOrRefused) {
+// An unreachable replica also has a low load: a turn sent there would time out instead of being
+// refused at once.
+TEST(ReplicaPlacement, doesNotOverflowToASuspectOrFullReplica) {
   std::vector<ReplicaPtr> replicas;
-  for (int number = 0; number < 10; ++number) {
-    replicas.push_back(add("r" + std::to_string(number), "a"));
+  for (int index = 0; index < 10; ++index) {
+    replicas.push_back(add("r" + std::to_string(index), "a"));
   }
   const PlacementQuery turn = longTurn("program", "q1");
   const ReplicaPtr preferred = std::get<Placed>(withoutRules.place(turn, now)).replica;
@@ -283,23 +274,23 @@
   CHECK_TRUE(isPlaced(withoutRules.place(turn, now)));
 }
 
-// Nodes share their loads some times a second only: with one second choice for all, the programs of
-// a full replica would crowd onto the next one.
-TEST(ReplicaPlacement, programsOfAFullReplicaSpreadAndEachKeepsItsSecondChoice) {
+// Guards against all programs of a full replica overflowing to the same replica, since nodes
+// exchange their loads only a few times per second.
+TEST(ReplicaPlacement, overflowSpreadsProgramsAndEachKeepsItsReplica) {
   std::vector<ReplicaPtr> replicas;
-  for (int number = 0; number < 12; ++number) {
-    replicas.push_back(add("r" + std::to_string(number), "a"));
+  for (int index = 0; index < 12; ++index) {
+    replicas.push_back(add("r" + std::to_string(index), "a"));
   }
   std::map<const Replica*, int> chosen;
   int moved = 0;
-  for (int number = 0; number < 300; ++number) {
-    const std::string program = "program" + std::to_string(number);
+  for (int index = 0; index < 300; ++index) {
+    const std::string program = "program" + std::to_string(index);
     const PlacementQuery turn = longTurn(program, "q");
     const ReplicaPtr preferred = std::get<Placed>(withoutRules.place(turn, now)).replica;
     preferred->inFlight = 9;
     const ReplicaPtr second = std::get<Placed>(withoutRules.place(turn, now)).replica;
     CHECK(second != preferred);
-    second->inFlight = 1;  // Its own turn a moment ago: the prompt is there now.
+    second->inFlight = 1;  // The overflowed turn, whose prompt is now cached there.
     CHECK(std::get<Placed>(withoutRules.place(turn, now)).replica == second);
     ++chosen[second.get()];
     ++moved;
@@ -308,15 +299,14 @@
   }
   LONGS_EQUAL(12, chosen.size());
   for (const auto& [replica, count] : chosen) {
-    CHECK_TRUE(count < moved / 6);  // Twice an even share.
+    CHECK_TRUE(count < moved / 6);  // At most twice the mean.
   }
 }
 
-// Rules are asked once, also where the cheapest replica is full; one that a rule keeps back is no
-// way out, and neither is one that was tried.
-TEST(ReplicaPlacement, aTurnWhoseReplicaIsFullGoesOnlyWhereTheRulesAllow) {
+// Overflow must not use replicas that a rule excludes or that were tried, nor evaluate rules twice.
+TEST(ReplicaPlacement, overflowsOnlyToReplicasAllowedByTheRules) {
   const ReplicaPtr full = add("c1", "c");
-  add("a1", "a");  // Idle, and kept back by a rule.
+  add("a1", "a");  // Idle, but excluded by a rule.
   full->inFlight = 9;
   PlacementQuery turn = longTurn("program", "q1");
   CHECK_FALSE(isPlaced(placement.place(turn, now)));
--- a/tests/routing/replica_selector_test.cpp
+++ b/tests/routing/replica_selector_test.cpp
@@ -1,4 +1,4 @@
-// The choice of a replica: load of all nodes, prompts that are kept, zones, slow and failed ones.
+// Selection by load of all nodes, cached prompts, distance, slowness and failures.
 #include "routing/replica_selector.h"
 
 #include <CppUTest/TestHarness.h>
@@ -34,36 +34,36 @@
   }
 };
 
-TEST(ReplicaSelector, choosesNothingWhereNothingTakesWork) {
+TEST(ReplicaSelector, choosesNoneIfNoReplicaAcceptsRequests) {
   CHECK(choose("p") == nullptr);
   add("a", "zone-a")->entry.draining = true;
   add("b", "zone-a")->gone = true;
   CHECK(choose("p") == nullptr);
 }
 
-TEST(ReplicaSelector, doesNotAskAReplicaTwice) {
+TEST(ReplicaSelector, doesNotChooseATriedReplica) {
   const std::vector<ReplicaPtr> tried = {add("a", "zone-a")};
   CHECK(choose("p", 0, &tried) == nullptr);
 }
 
-TEST(ReplicaSelector, avoidsAReplicaThatFailsPartOfItsRequestsUntilThatHasFaded) {
-  const ReplicaPtr grey = add("grey", "zone-a");
+TEST(ReplicaSelector, avoidsAReplicaWithPartialFailuresUntilTheyHaveDecayed) {
+  const ReplicaPtr failing = add("grey", "zone-a");
   const ReplicaPtr far = add("far", "zone-b");
-  grey->outcomes.note(true, now);
-  CHECK(choose("p") == grey);  // One failure may be chance.
+  failing->outcomes.note(true, now);
+  CHECK(choose("p") == failing);  // A single failure is not significant.
   for (int request = 0; request < 6; ++request) {
-    grey->outcomes.note(request % 3 == 0, now);
+    failing->outcomes.note(request % 3 == 0, now);
   }
   CHECK(choose("p") == far);
   now += seconds(20);
-  CHECK(choose("p") == grey);
+  CHECK(choose("p") == failing);
 }
 
-TEST(ReplicaSelector, takesOthersWordForAReplicasFailures) {
-  const ReplicaPtr grey = add("grey", "zone-a");
+TEST(ReplicaSelector, countsFailuresReportedByOtherNodes) {
+  const ReplicaPtr failing = add("grey", "zone-a");
   const ReplicaPtr far = add("far", "zone-b");
-  grey->othersFailed = 3;
-  grey->othersEnded = 9;
+  failing->othersFailed = 3;
+  failing->othersEnded = 9;
   CHECK(choose("p") == far);
 }
 
@@ -84,7 +84,7 @@
   }
 }
 
-TEST(ReplicaSelector, keepsAProgramWhereItsPromptIsUntilThatIsFull) {
+TEST(ReplicaSelector, keepsAProgramAtItsCachedPromptUntilTheReplicaIsFull) {
   const ReplicaPtr first = add("a", "zone-a");
   const ReplicaPtr second = add("b", "zone-a");
   const ReplicaPtr home = choose("program");
@@ -107,7 +107,7 @@
   LONGS_EQUAL(3, chosen.size());
 }
 
-TEST(ReplicaSelector, avoidsSuspectsAndThoseThatWereFullWhileOthersAreThere) {
+TEST(ReplicaSelector, avoidsSuspectAndFullReplicasIfThereAreOthers) {
   const ReplicaPtr suspect = add("suspect", "zone-a");
   const ReplicaPtr full = add("full", "zone-a");
   const ReplicaPtr sound = add("sound", "zone-b");
@@ -133,7 +133,7 @@
   CHECK(selector.choose(table, query, acceptsRequests, now) == near);
 }
 
-TEST(ReplicaSelector, usesADoubtedReplicaOnlyWhenThereIsNoOther) {
+TEST(ReplicaSelector, usesALapsedReplicaOnlyIfThereIsNoOther) {
   const ReplicaPtr doubted = add("doubted", "zone-a");
   const ReplicaPtr busy = add("busy", "zone-b");
   doubted->graceUntil = now + seconds(1);
@@ -143,7 +143,7 @@
   CHECK(choose("p", 2500) == doubted);
 }
 
-TEST(ReplicaSelector, avoidsAReplicaThatAnswersFarSlowerThanTheOthers) {
+TEST(ReplicaSelector, avoidsAReplicaMuchSlowerThanTheMedian) {
   const ReplicaPtr slow = add("slow", "zone-a");
   add("b", "zone-a")->answerMilliseconds = 50;
   add("c", "zone-a")->answerMilliseconds = 50;
@@ -174,7 +174,7 @@
   CHECK(far.choose(table, query, acceptsRequests, now) != near);
 }
 
-TEST(ReplicaSelector, promptsGatherInTheNearestPlaceThatHasReplicas) {
+TEST(ReplicaSelector, cachesPromptsInTheNearestRegionWithReplicas) {
   const ZoneTable zones({{"zone-a", "west"}, {"zone-b", "west"}, {"zone-c", "east"}});
   const ReplicaSelector near("zone-a", {}, &zones);
   ReplicaQuery query;
--- a/tests/routing/replica_table_test.cpp
+++ b/tests/routing/replica_table_test.cpp
@@ -1,4 +1,4 @@
-// Registrations come, change and go; requests under way keep the replica they were sent to.
+// Changes of registrations, and grace periods of lapsed ones.
 #include "routing/replica_table.h"
 
 #include <CppUTest/TestHarness.h>
@@ -21,7 +21,7 @@
 
 TEST_GROUP(ReplicaTable) { ReplicaTable table; };
 
-TEST(ReplicaTable, tellsWhatChanged) {
+TEST(ReplicaTable, reportsChanges) {
   ReplicaEntry entry = entryOf("a", "s");
   CHECK(table.upsert(entry) == ReplicaChange::Added);
   CHECK(table.upsert(entry) == ReplicaChange::None);
@@ -35,7 +35,7 @@
   CHECK(table.ofService("s").empty());
 }
 
-TEST(ReplicaTable, aRemovedReplicaTakesNoWorkWhereItIsStillHeld) {
+TEST(ReplicaTable, aRemovedReplicaAcceptsNoRequestsWhileStillReferenced) {
   table.upsert(entryOf("a", "s"));
   const ReplicaPtr held = table.ofService("s").front();
   table.remove("a");
@@ -49,7 +49,7 @@
   LONGS_EQUAL(1, table.ofService("t").size());
 }
 
-TEST(ReplicaTable, namesWhatAListingMisses) {
+TEST(ReplicaTable, findsIdsMissingFromAListing) {
   table.upsert(entryOf("a", "s"));
   table.upsert(entryOf("b", "s"));
   const auto missing = table.missingFrom({"b", "c"});
@@ -68,7 +68,7 @@
   CHECK(table.ofService("s").empty());
 }
 
-TEST(ReplicaTable, aDoubtedReplicaThatRegistersAgainIsSound) {
+TEST(ReplicaTable, aNewRegistrationEndsTheGracePeriod) {
   const Instant now{seconds(100)};
   table.upsert(entryOf("a", "s"));
   table.doubt("a", now + seconds(2));
@@ -77,7 +77,7 @@
   LONGS_EQUAL(1, table.size());
 }
 
-TEST(ReplicaTable, aLeavingReplicaIsNotDoubtedButRemoved) {
+TEST(ReplicaTable, removesADrainingReplicaWithoutGracePeriod) {
   ReplicaEntry entry = entryOf("a", "s");
   entry.draining = true;
   table.upsert(entry);
--- a/tests/routing/route_table_test.cpp
+++ b/tests/routing/route_table_test.cpp
@@ -1,4 +1,4 @@
-// Routes by host and longest prefix; versions never go back; weights are kept to exactly.
+// Matching by host and longest prefix, monotonic versions, and exact weights.
 #include "routing/route_table.h"
 
 #include <CppUTest/TestHarness.h>
@@ -35,12 +35,12 @@
 
 TEST_GROUP(RouteTable) { RouteTable table; };
 
-TEST(RouteTable, knowsNothingBeforeTheFirstConfiguration) {
+TEST(RouteTable, matchesNothingBeforeTheFirstConfiguration) {
   CHECK(table.inForce() == nullptr);
   STRCMP_EQUAL("none", matched(table, "a.example", "/x/y").c_str());
 }
 
-TEST(RouteTable, takesTheLongestPrefixOfTheHost) {
+TEST(RouteTable, choosesTheLongestPrefixOfTheHost) {
   table.apply(configurationOf(
       1, {routeOf("short", "a.example", "/x/"), routeOf("long", "a.example", "/x/y/"),
           routeOf("other", "b.example", "/x/")}));
@@ -56,14 +56,14 @@
   STRCMP_EQUAL("r", matched(table, "A.Example:8080", "/x/1").c_str());
 }
 
-TEST(RouteTable, neverGoesBackToAnOlderVersion) {
+TEST(RouteTable, rejectsOlderVersions) {
   CHECK_TRUE(table.apply(configurationOf(7, {routeOf("new", "a.example", "/x/")})));
   CHECK_FALSE(table.apply(configurationOf(3, {routeOf("old", "a.example", "/x/")})));
   CHECK_FALSE(table.apply(configurationOf(7, {routeOf("same", "a.example", "/x/")})));
   STRCMP_EQUAL("new", matched(table, "a.example", "/x/1").c_str());
 }
 
-TEST(RouteTable, manyNodesWithFewRequestsEachKeepToWeightsTogether) {
+TEST(RouteTable, manyNodesWithFewRequestsEachMatchTheWeights) {
   Route split = routeOf("split", "a.example", "/x/");
   split.services = {{"big", 90}, {"small", 10}};
   std::map<std::string, int> counts;
@@ -74,10 +74,10 @@
       ++counts[own.nextService(*own.match("a.example", "/x/1"))];
     }
   }
-  CHECK(counts["small"] > 60 && counts["small"] < 120);  // 90 of 900 by weight.
+  CHECK(counts["small"] > 60 && counts["small"] < 120);  // 90 of 900 expected.
 }
 
-TEST(RouteTable, keepsToWeightsExactly) {
+TEST(RouteTable, matchesTheWeightsExactly) {
   Route split = routeOf("split", "a.example", "/x/");
   split.services = {{"big", 90}, {"small", 10}};
   table.apply(configurationOf(1, {split}));
--- a/tests/tenant/authentication_test.cpp
+++ b/tests/tenant/authentication_test.cpp
@@ -1,4 +1,4 @@
-// In whose name a request is made, and names that tenants cannot share.
+// Authentication by API key, and uniqueness of scoped names across tenants.
 #include "tenant/authentication.h"
 
 #include <set>
@@ -24,37 +24,37 @@
   }
 };
 
-TEST(Authentication, servesAHolderWhateverTheConfigurationsAge) {
+TEST(Authentication, acceptsAKnownKeyWithAnyConfiguration) {
   for (const bool isFresh : {true, false}) {
     const auto decided = decide("key", false, isFresh);
     STRCMP_EQUAL("a", std::get<Authenticated>(decided).tenant->name.c_str());
   }
 }
 
-TEST(Authentication, refusesAnUnknownKeyOnlyWithAFreshConfiguration) {
+TEST(Authentication, rejectsAnUnknownKeyOnlyWithAFreshConfiguration) {
   CHECK(std::holds_alternative<Unauthenticated>(decide("other", false, true)));
   CHECK(std::holds_alternative<AuthenticationUncertain>(decide("other", false, false)));
 }
 
-TEST(Authentication, refusesARequestWithoutAKeyAtAnyAge) {
+TEST(Authentication, rejectsARequestWithoutAKey) {
   CHECK(std::holds_alternative<Unauthenticated>(decide(nullptr, false, true)));
   CHECK(std::holds_alternative<Unauthenticated>(decide(nullptr, false, false)));
 }
 
-TEST(Authentication, anExemptRouteServesAllAndStillNamesTheHolder) {
+TEST(Authentication, anExemptRouteServesAllAndIdentifiesTheTenant) {
   POINTERS_EQUAL(nullptr, std::get<Authenticated>(decide(nullptr, true, true)).tenant);
   POINTERS_EQUAL(nullptr, std::get<Authenticated>(decide("other", true, true)).tenant);
   STRCMP_EQUAL("a", std::get<Authenticated>(decide("key", true, true)).tenant->name.c_str());
 }
 
-TEST(Authentication, asksForNoKeysWithoutTenants) {
+TEST(Authentication, requiresNoKeyWithoutTenants) {
   const auto decided = authenticate(nullptr, std::nullopt, false, true);
   POINTERS_EQUAL(nullptr, std::get<Authenticated>(decided).tenant);
 }
 
 TEST_GROUP(ScopedName){};
 
-TEST(ScopedName, noTwoTenantsMeetWhateverIdsTheyChoose) {
+TEST(ScopedName, isUniqueAcrossTenantsForAnyIds) {
   std::set<std::string> names;
   std::size_t count = 0;
   for (const char* tenant : {"", "a", "ab", "a/b", "1:a", "0:"}) {
@@ -66,7 +66,7 @@
   LONGS_EQUAL(count, names.size());
 }
 
-TEST(ScopedName, plainIdsStandForThemselvesAsInOldRecords) {
+TEST(ScopedName, returnsPlainIdsUnchanged) {
   STRCMP_EQUAL("9c41d07b", scopedName("", "9c41d07b").c_str());
   STRCMP_EQUAL("", scopedName("tenant", "").c_str());
   STRCMP_EQUAL("6:tenant/9c41", scopedName("tenant", "9c41").c_str());
