--- a/src/routing/region_policy.cpp
+++ b/src/routing/region_policy.cpp
@@ -14,9 +14,10 @@
                                    const ZoneTable& zones) {
   for (const std::string& region : regions) {
     if (!zones.hasRegion(region)) {
-      return Error{ErrorKind::InvalidBundle, owner + ".allowedRegions",
-                   "the deployment has no region '" + region + "'",
-                   "name regions of the settings' table of zones, and publish a new version"};
+      return Error{
+          ErrorKind::InvalidBundle, owner + ".allowedRegions",
+          "the deployment has no region '" + region + "'",
+          "use only regions from the zone table in the settings, and publish a new version"};
     }
   }
   return std::nullopt;
--- a/src/tenant/api_key_hasher.cpp
+++ b/src/tenant/api_key_hasher.cpp
@@ -12,7 +12,8 @@
 ApiKeyHasher ApiKeyHasher::withRandomSecret() {
   Secret secret{};
   if (RAND_bytes(secret.data(), static_cast<int>(secret.size())) != 1) {
-    std::cerr << "no randomness for the digests of API keys; check the system's random source\n";
+    std::cerr << "no random bytes for the secret of API key digests, exiting; check the system's "
+                 "random source\n";
     std::exit(EXIT_FAILURE);
   }
   return ApiKeyHasher(secret);
--- a/src/tenant/tenant_directory.cpp
+++ b/src/tenant/tenant_directory.cpp
@@ -29,11 +29,11 @@
   }
   if (!isFiniteNonNegative(tenant.quota.requestsPerSecond) ||
       !isFiniteNonNegative(tenant.quota.burst)) {
-    return invalid(tenant.name, "its rate or burst is negative or no number",
-                   "set both to 0 or more");
+    return invalid(tenant.name, "its rate or burst is negative or not finite",
+                   "set both to finite values of 0 or more");
   }
   if (tenant.priority.value_or(0) > kLeastUrgentPriority) {
-    return invalid(tenant.name, "its priority is unknown",
+    return invalid(tenant.name, "its priority is out of range",
                    "set a priority from 0 to " + std::to_string(kLeastUrgentPriority));
   }
   return std::nullopt;
--- a/tests/tenant/tenant_directory_test.cpp
+++ b/tests/tenant/tenant_directory_test.cpp
@@ -1,4 +1,4 @@
-// Who holds a key, and which tenants are refused.
+// Lookup of tenants by key, and validation of tenant configurations.
 #include "tenant/tenant_directory.h"
 
 #include <CppUTest/TestHarness.h>
@@ -21,7 +21,7 @@
     }
     return made;
   }
-  static void checkRefused(std::vector<Tenant> tenants, const char* reason) {
+  static void checkRejected(std::vector<Tenant> tenants, const char* reason) {
     const auto made = TenantDirectory::make(std::move(tenants));
     CHECK_FALSE(succeeded(made));
     CHECK(errorOf(made).kind == ErrorKind::InvalidField);
@@ -29,7 +29,7 @@
   }
 };
 
-TEST(TenantDirectory, findsTheHolderOfEitherKeyWhileOneIsReplaced) {
+TEST(TenantDirectory, findsATenantByEitherKeyDuringRotation) {
   const auto made =
       TenantDirectory::make({tenantOf("a", {"old", "new"}), tenantOf("b", {"other"})});
   const TenantDirectory& directory = valueOf(made);
@@ -38,14 +38,14 @@
   STRCMP_EQUAL("b", directory.holderOf(hasher.digestOf("other"))->name.c_str());
 }
 
-TEST(TenantDirectory, knowsNoOtherKeys) {
+TEST(TenantDirectory, findsNoTenantForOtherKeys) {
   const auto made = TenantDirectory::make({tenantOf("a", {"key"})});
   for (const char* wrong : {"", "ke", "keyx", "Key", " key", "Bearer key", "key,key"}) {
     POINTERS_EQUAL(nullptr, valueOf(made).holderOf(hasher.digestOf(wrong)));
   }
 }
 
-TEST(TenantDirectory, digestsSayNothingWithoutTheSecret) {
+TEST(TenantDirectory, digestsDependOnTheSecret) {
   const ApiKeyHasher another{ApiKeyHasher::Secret{9}};
   const auto made = TenantDirectory::make({tenantOf("a", {"key"})});
   POINTERS_EQUAL(nullptr, valueOf(made).holderOf(another.digestOf("key")));
@@ -53,40 +53,41 @@
         ApiKeyHasher::withRandomSecret().digestOf("key").bytes);
 }
 
-TEST(TenantDirectory, aTenantWithoutKeysAndATenantWithOneKeyTwiceAreAllowed) {
+TEST(TenantDirectory, allowsATenantWithoutKeysOrWithADuplicateKey) {
   const auto made = TenantDirectory::make({tenantOf("a", {}), tenantOf("b", {"k", "k"})});
   CHECK_TRUE(succeeded(made));
   STRCMP_EQUAL("b", valueOf(made).holderOf(hasher.digestOf("k"))->name.c_str());
 }
 
-TEST(TenantDirectory, refusesAKeyOfTwoTenantsAndDoesNotShowIt) {
-  checkRefused({tenantOf("a", {"secret-key"}), tenantOf("b", {"secret-key"})}, "shares an API key");
+TEST(TenantDirectory, rejectsASharedKeyWithoutRevealingIt) {
+  checkRejected({tenantOf("a", {"secret-key"}), tenantOf("b", {"secret-key"})},
+                "shares an API key");
   const auto made =
       TenantDirectory::make({tenantOf("a", {"secret-key"}), tenantOf("b", {"secret-key"})});
   CHECK(errorOf(made).toText().find("secret-key") == std::string::npos);
 }
 
-TEST(TenantDirectory, refusesOneNameTwiceAndAnEmptyOne) {
-  checkRefused({tenantOf("a", {"k"}), tenantOf("a", {"l"})}, "two tenants have this name");
-  checkRefused({tenantOf("", {"k"})}, "name is empty");
+TEST(TenantDirectory, rejectsDuplicateAndEmptyNames) {
+  checkRejected({tenantOf("a", {"k"}), tenantOf("a", {"l"})}, "two tenants have this name");
+  checkRejected({tenantOf("", {"k"})}, "name is empty");
 }
 
-TEST(TenantDirectory, refusesRatesThatAreNoAllowance) {
+TEST(TenantDirectory, rejectsNegativeAndNonFiniteRates) {
   for (const double wrong :
        {-1.0, std::numeric_limits<double>::quiet_NaN(), std::numeric_limits<double>::infinity()}) {
     Tenant rated = tenantOf("a", {"k"});
     rated.quota.requestsPerSecond = wrong;
-    checkRefused({rated}, "rate or burst");
+    checkRejected({rated}, "rate or burst");
     Tenant bursting = tenantOf("a", {"k"});
     bursting.quota.burst = wrong;
-    checkRefused({bursting}, "rate or burst");
+    checkRejected({bursting}, "rate or burst");
   }
 }
 
-TEST(TenantDirectory, refusesAnUnknownPriority) {
+TEST(TenantDirectory, rejectsAnUnknownPriority) {
   Tenant urgent = tenantOf("a", {"k"});
   urgent.priority = kLeastUrgentPriority + 1;
-  checkRefused({urgent}, "priority is unknown");
+  checkRejected({urgent}, "priority is out of range");
   urgent.priority = kLeastUrgentPriority;
   CHECK_TRUE(succeeded(TenantDirectory::make({urgent})));
 }
