--- a/src/routing/cold_replica_rule.h
+++ b/src/routing/cold_replica_rule.h
@@ -48,8 +48,8 @@
   Duration heartbeat = milliseconds(1200);
   /// Maximum delay of a registration's write, and of a request on its way to the replica.
   Duration margin = milliseconds(300);
-  /// Designated senders of a replica under one membership view. More senders cover more of the
-  /// fleet's requests; fewer senders have a higher rate each.
+  /// Designated senders of a replica under one membership view, chosen by rendezvous hashing. More
+  /// senders cover more of the fleet's requests; fewer senders have a higher rate each.
   std::size_t designatedSenders = 4;
   /// Fraction of the limit for the designated senders of two disjoint membership views. The rest of
   /// the limit is left for nodes in unknown state; a larger fraction would let a sender reach three
@@ -110,8 +110,9 @@
 
 /// Enforces the rate limit of cold replicas. A replica counts as cold if its registration says so,
 /// if it is new and its registration does not report its state, or if its zone has just returned
-/// from an evacuation. A node in unknown state (after a start, or while the store is unavailable)
-/// sends about one request per second to each of a few replicas, and more only to responsive ones.
+/// from an evacuation. A node that does not know which replicas are cold (after a start, or while
+/// the store is unavailable) is in unknown state. It sends about one request per second to each of
+/// a few replicas, and more only to responsive ones.
 ///
 /// Guarantee: among nodes that know the state only designated senders send, among the others only
 /// the replica's owners on the member ring. The numbers of both and the rate of each are bounded,
@@ -208,8 +209,8 @@
   std::string ownName_;
   std::uint64_t incarnation_;
   Duration slotPhase_;
-  Instant freshAt_;             ///< All registrations written before have been read.
-  Instant evacuationsFreshAt_;  ///< All evacuation records written before have been read.
+  Instant freshAt_;             ///< All registrations written before it have been read.
+  Instant evacuationsFreshAt_;  ///< All evacuation records written before it have been read.
   /// The state stays unknown until registrations written after this time have been read.
   Instant unknownUntilReadAt_ = Instant::max();
   /// When each zone returned from evacuation; dropped once newer registrations have been read.
--- a/src/routing/fleet_load.cpp
+++ b/src/routing/fleet_load.cpp
@@ -28,7 +28,8 @@
 void FleetLoad::onDigest(LoadDigest digest, Instant now) {
   Entry& entry = byNode_[digest.node];
   // A restarted node restarts its sequence numbers, so any digest replaces an expired one.
-  const bool newer = digest.beat > entry.digest.beat || now - entry.receivedAt > knobs_.silence;
+  const bool newer =
+      digest.beat > entry.digest.beat || now - entry.receivedAt > knobs_.digestExpiry;
   if (newer) {
     entry = {std::move(digest), now};
   }
@@ -36,7 +37,7 @@
 
 void FleetLoad::dropStale(Instant now) {
   for (auto entry = byNode_.begin(); entry != byNode_.end();) {
-    const bool isStale = now - entry->second.receivedAt > knobs_.silence;
+    const bool isStale = now - entry->second.receivedAt > knobs_.digestExpiry;
     entry = isStale ? byNode_.erase(entry) : std::next(entry);
   }
 }
--- a/src/routing/fleet_load.h
+++ b/src/routing/fleet_load.h
@@ -51,7 +51,7 @@
 
 /// Settings of `FleetLoad`.
 struct FleetLoadKnobs {
-  Duration silence = milliseconds(600);  ///< Digests older than this are dropped.
+  Duration digestExpiry = milliseconds(600);  ///< Digests older than this are dropped.
 };
 
 /// Sums the latest digests of all nodes. If only some nodes' digests arrive, extrapolates to the
--- a/tests/routing/cold_replica_fleet_test.cpp
+++ b/tests/routing/cold_replica_fleet_test.cpp
@@ -205,8 +205,9 @@
     sources.serviceOf = [this](std::string_view) { return &service_; };
     sources.nodes = [this, &node]() -> const std::vector<std::string>& { return viewOf(node); };
     sources.members = [this, &node]() -> const std::vector<RingMember>& { return membersOf(node); };
-    const std::uint64_t life = (random_.below(UINT32_MAX) << 20U) + random_.below(UINT32_MAX);
-    node.rule = std::make_unique<ColdReplicaRule>(scenario_.knobs, sources, node.name, life);
+    const std::uint64_t incarnation =
+        (random_.below(UINT32_MAX) << 20U) + random_.below(UINT32_MAX);
+    node.rule = std::make_unique<ColdReplicaRule>(scenario_.knobs, sources, node.name, incarnation);
     node.replicas.clear();
     node.read.assign(kReplicas, 0);
     for (const SimulatedReplica& replica : simulatedReplicas_) {
--- a/tests/routing/cold_replica_rule_test.cpp
+++ b/tests/routing/cold_replica_rule_test.cpp
@@ -28,12 +28,12 @@
     startRule({});
     runUntilStateIsKnown();
   }
-  void startRule(ColdReplicaKnobs knobs, std::uint64_t life = 77) {
+  void startRule(ColdReplicaKnobs knobs, std::uint64_t incarnation = 77) {
     ColdReplicaSources sources;
     sources.serviceOf = [this](std::string_view name) { return name == "m" ? &service : nullptr; };
     sources.nodes = [this]() -> const std::vector<std::string>& { return nodes; };
     sources.members = [this]() -> const std::vector<RingMember>& { return members; };
-    rule = std::make_unique<ColdReplicaRule>(knobs, sources, "a", life);
+    rule = std::make_unique<ColdReplicaRule>(knobs, sources, "a", incarnation);
   }
   /// Advances time until the state of all replicas is known.
   void runUntilStateIsKnown() {
@@ -299,8 +299,8 @@
     nodes.push_back(std::string(1, static_cast<char>('a' + index)));
   }
   int all = 0;
-  for (std::uint64_t life = 1; life <= 50; ++life) {
-    startRule(knobs, life * 7919);
+  for (std::uint64_t incarnation = 1; incarnation <= 50; ++incarnation) {
+    startRule(knobs, incarnation * 7919);
     runUntilStateIsKnown();
     registers(seconds(60));
     all += sendFor(seconds(2));
@@ -359,13 +359,13 @@
 
 // Guards against bursts from successive processes of one node, which share no state.
 TEST(ColdReplicaRule, requestsOfSuccessiveProcessesInUnknownStateAreASecondApart) {
-  for (int life = 0; life < 200; ++life) {
-    replica->entry.id = "i-" + std::to_string(life);
+  for (int trial = 0; trial < 200; ++trial) {
+    replica->entry.id = "i-" + std::to_string(trial);
     std::optional<Instant> sentAt;
     for (int process = 0; process < 5; ++process) {
-      startRule({}, static_cast<std::uint64_t>(life * 5 + process));
+      startRule({}, static_cast<std::uint64_t>(trial * 5 + process));
       rule->tend({replica}, now);
-      const Instant end = now + milliseconds(250 + 190 * ((life + process) % 8));
+      const Instant end = now + milliseconds(250 + 190 * ((trial + process) % 8));
       for (; now < end; now += milliseconds(10)) {
         if (isEligible()) {
           CHECK(!sentAt || now - *sentAt >= seconds(1));
--- a/tests/routing/fleet_load_test.cpp
+++ b/tests/routing/fleet_load_test.cpp
@@ -51,13 +51,13 @@
 
 TEST(FleetLoad, dropsNodesWithoutRecentDigest) {
   receiveDigest(1, 1, 3);
-  now += FleetLoadKnobs{}.silence + milliseconds(1);
+  now += FleetLoadKnobs{}.digestExpiry + milliseconds(1);
   DOUBLES_EQUAL(0, others(1), 1e-9);
 }
 
 TEST(FleetLoad, acceptsARestartedNodeOnceItsDigestHasExpired) {
   receiveDigest(1, 100, 3);
-  now += FleetLoadKnobs{}.silence + milliseconds(1);
+  now += FleetLoadKnobs{}.digestExpiry + milliseconds(1);
   receiveDigest(1, 1, 2);
   DOUBLES_EQUAL(2, others(1), 1e-9);
 }
--- a/tests/routing/replica_selector_test.cpp
+++ b/tests/routing/replica_selector_test.cpp
@@ -110,11 +110,11 @@
 TEST(ReplicaSelector, avoidsSuspectAndFullReplicasIfThereAreOthers) {
   const ReplicaPtr suspect = add("suspect", "zone-a");
   const ReplicaPtr full = add("full", "zone-a");
-  const ReplicaPtr sound = add("sound", "zone-b");
+  const ReplicaPtr healthy = add("sound", "zone-b");
   suspect->suspectUntil = now + seconds(1);
   full->fullUntil = now + seconds(1);
-  CHECK(choose("p", 2500) == sound);
-  sound->gone = true;
+  CHECK(choose("p", 2500) == healthy);
+  healthy->gone = true;
   CHECK(choose("p", 2500) == full);
   full->gone = true;
   CHECK(choose("p", 2500) == suspect);
@@ -134,13 +134,13 @@
 }
 
 TEST(ReplicaSelector, usesALapsedReplicaOnlyIfThereIsNoOther) {
-  const ReplicaPtr doubted = add("doubted", "zone-a");
+  const ReplicaPtr lapsed = add("doubted", "zone-a");
   const ReplicaPtr busy = add("busy", "zone-b");
-  doubted->graceUntil = now + seconds(1);
+  lapsed->graceUntil = now + seconds(1);
   busy->othersInFlight = 100;
   CHECK(choose("p", 2500) == busy);
   busy->gone = true;
-  CHECK(choose("p", 2500) == doubted);
+  CHECK(choose("p", 2500) == lapsed);
 }
 
 TEST(ReplicaSelector, avoidsAReplicaMuchSlowerThanTheMedian) {
