--- a/src/routing/region_policy.cpp
+++ b/src/routing/region_policy.cpp
@@ -9,14 +9,15 @@
 namespace gorsetrail::routing {
 namespace {
 
-/// \return the error for a limit with a region that the deployment does not have.
+/// \return an error if the limit names a region that the deployment does not have.
 std::optional<Error> unknownRegion(const std::string& owner, const RegionSet& regions,
                                    const ZoneTable& zones) {
   for (const std::string& region : regions) {
     if (!zones.hasRegion(region)) {
-      return Error{ErrorKind::InvalidBundle, owner + ".allowedRegions",
-                   "the deployment has no region '" + region + "'",
-                   "name regions of the settings' table of zones, and publish a new version"};
+      return Error{
+          ErrorKind::InvalidBundle, owner + ".allowedRegions",
+          "the deployment has no region '" + region + "'",
+          "use only regions from the zone table in the settings, and publish a new version"};
     }
   }
   return std::nullopt;
@@ -39,7 +40,7 @@
   const auto add = [&](const std::string& route, const std::string& tenant,
                        const RegionSet& regions) {
     const bool isEverywhere = regions == zones.regions();
-    // Of two routes with one host and path the first gets the requests.
+    // Among routes with the same host and path, the first one receives the requests.
     policy.places_.try_emplace({route, tenant},
                                AllowedPlaces{regions, isEverywhere ? std::vector<std::string>()
                                                                    : zones.zonesOf(regions, zone)});
--- a/tests/routing/region_rule_test.cpp
+++ b/tests/routing/region_rule_test.cpp
@@ -1,4 +1,4 @@
-// Requests are kept from replicas outside their regions, and told the reason that counts.
+// Exclusion of replicas outside the allowed regions, and the reason reported for a refusal.
 #include "routing/region_rule.h"
 
 #include "routing/evacuation.h"
@@ -23,7 +23,7 @@
   Instant now{seconds(100)};
 
   void setup() override { evacuations.onListed({}); }
-  std::optional<PlacementBar> barOf(const std::string& zone, const RegionSet* regions) {
+  std::optional<ExclusionReason> barOf(const std::string& zone, const RegionSet* regions) {
     Replica replica;
     replica.entry.zone = zone;
     return rule.barOf(replica, {regions}, now);
@@ -45,33 +45,33 @@
   }
 };
 
-TEST(RegionRule, allowsOnlyReplicasOfTheRegions) {
+TEST(RegionRule, allowsOnlyReplicasInAllowedRegions) {
   CHECK_FALSE(barOf("wa", &west).has_value());
-  CHECK(PlacementBar::RegionNotAllowed == barOf("ea", &west).value());
-  CHECK(PlacementBar::RegionNotAllowed == barOf("unknown", &west).value());
-  CHECK(PlacementBar::RegionNotAllowed == barOf("wa", &none).value());
+  CHECK(ExclusionReason::RegionNotAllowed == barOf("ea", &west).value());
+  CHECK(ExclusionReason::RegionNotAllowed == barOf("unknown", &west).value());
+  CHECK(ExclusionReason::RegionNotAllowed == barOf("wa", &none).value());
   CHECK_FALSE(barOf("unknown", nullptr).has_value());
 }
 
-TEST(RegionRule, aRequestGoesFarWhereOnlyThatIsAllowed) {
+TEST(RegionRule, usesARemoteReplicaIfOnlyItsRegionIsAllowed) {
   add("near", "ea");
   const ReplicaPtr far = add("far", "wa");
   POINTERS_EQUAL(far.get(), std::get<Placed>(place(&west)).replica.get());
 }
 
-TEST(RegionRule, isTheReasonWhereNoReplicaOfTheRegionsIsLeft) {
+TEST(RegionRule, isReportedIfTheAllowedRegionsHaveNoReplica) {
   add("near", "ea");
   const auto refused = std::get<NoReplica>(place(&west));
-  CHECK(PlacementBar::RegionNotAllowed == refused.bar.value());
+  CHECK(ExclusionReason::RegionNotAllowed == refused.bar.value());
   CHECK(refused.retryAfter > Duration::zero());
 }
 
-TEST(RegionRule, isNoReasonWhereAnotherRuleKeepsTheRegionsReplicasBack) {
+TEST(RegionRule, isNotReportedIfAnotherRuleExcludesTheAllowedReplicas) {
   for (int replica = 0; replica < 5; ++replica) {
     add("near" + std::to_string(replica), "ea");
   }
   add("far", "wa");
   evacuations.onEvacuated("wa", now);
   evacuations.onEvacuated("ea", now);
-  CHECK(PlacementBar::ZoneEvacuated == std::get<NoReplica>(place(&west)).bar.value());
+  CHECK(ExclusionReason::ZoneEvacuated == std::get<NoReplica>(place(&west)).bar.value());
 }
--- a/tests/routing/replica_selector_test.cpp
+++ b/tests/routing/replica_selector_test.cpp
@@ -1,4 +1,4 @@
-// The choice of a replica: load of all nodes, prompts that are kept, zones, slow and failed ones.
+// Selection by load of all nodes, cached prompts, distance, slowness and failures.
 #include "routing/replica_selector.h"
 
 #include <CppUTest/TestHarness.h>
@@ -13,7 +13,7 @@
   ReplicaSelector selector{"zone-a", {}};
   Instant now{seconds(100)};
 
-  static bool takesWork(const Replica& replica) { return replica.takesWork(); }
+  static bool acceptsRequests(const Replica& replica) { return replica.acceptsRequests(); }
   ReplicaPtr add(const std::string& id, const std::string& zone) {
     ReplicaEntry entry;
     entry.id = id;
@@ -30,40 +30,40 @@
     query.affinityKey = key;
     query.promptTokens = promptTokens;
     query.tried = tried;
-    return selector.choose(table, query, takesWork, now);
+    return selector.choose(table, query, acceptsRequests, now);
   }
 };
 
-TEST(ReplicaSelector, choosesNothingWhereNothingTakesWork) {
+TEST(ReplicaSelector, choosesNoneIfNoReplicaAcceptsRequests) {
   CHECK(choose("p") == nullptr);
   add("a", "zone-a")->entry.draining = true;
   add("b", "zone-a")->gone = true;
   CHECK(choose("p") == nullptr);
 }
 
-TEST(ReplicaSelector, doesNotAskAReplicaTwice) {
+TEST(ReplicaSelector, doesNotChooseATriedReplica) {
   const std::vector<ReplicaPtr> tried = {add("a", "zone-a")};
   CHECK(choose("p", 0, &tried) == nullptr);
 }
 
-TEST(ReplicaSelector, avoidsAReplicaThatFailsPartOfItsRequestsUntilThatHasFaded) {
-  const ReplicaPtr grey = add("grey", "zone-a");
+TEST(ReplicaSelector, avoidsAReplicaWithPartialFailuresUntilTheyHaveDecayed) {
+  const ReplicaPtr failing = add("grey", "zone-a");
   const ReplicaPtr far = add("far", "zone-b");
-  grey->outcomes.note(true, now);
-  CHECK(choose("p") == grey);  // One failure may be chance.
+  failing->outcomes.note(true, now);
+  CHECK(choose("p") == failing);  // A single failure is not significant.
   for (int request = 0; request < 6; ++request) {
-    grey->outcomes.note(request % 3 == 0, now);
+    failing->outcomes.note(request % 3 == 0, now);
   }
   CHECK(choose("p") == far);
   now += seconds(20);
-  CHECK(choose("p") == grey);
+  CHECK(choose("p") == failing);
 }
 
-TEST(ReplicaSelector, takesOthersWordForAReplicasFailures) {
-  const ReplicaPtr grey = add("grey", "zone-a");
+TEST(ReplicaSelector, countsFailuresReportedByOtherNodes) {
+  const ReplicaPtr failing = add("grey", "zone-a");
   const ReplicaPtr far = add("far", "zone-b");
-  grey->othersFailed = 3;
-  grey->othersEnded = 9;
+  failing->othersFailed = 3;
+  failing->othersEnded = 9;
   CHECK(choose("p") == far);
 }
 
@@ -84,7 +84,7 @@
   }
 }
 
-TEST(ReplicaSelector, keepsAProgramWhereItsPromptIsUntilThatIsFull) {
+TEST(ReplicaSelector, keepsAProgramAtItsCachedPromptUntilTheReplicaIsFull) {
   const ReplicaPtr first = add("a", "zone-a");
   const ReplicaPtr second = add("b", "zone-a");
   const ReplicaPtr home = choose("program");
@@ -107,14 +107,14 @@
   LONGS_EQUAL(3, chosen.size());
 }
 
-TEST(ReplicaSelector, avoidsSuspectsAndThoseThatWereFullWhileOthersAreThere) {
+TEST(ReplicaSelector, avoidsSuspectAndFullReplicasIfThereAreOthers) {
   const ReplicaPtr suspect = add("suspect", "zone-a");
   const ReplicaPtr full = add("full", "zone-a");
-  const ReplicaPtr sound = add("sound", "zone-b");
+  const ReplicaPtr healthy = add("sound", "zone-b");
   suspect->suspectUntil = now + seconds(1);
   full->fullUntil = now + seconds(1);
-  CHECK(choose("p", 2500) == sound);
-  sound->gone = true;
+  CHECK(choose("p", 2500) == healthy);
+  healthy->gone = true;
   CHECK(choose("p", 2500) == full);
   full->gone = true;
   CHECK(choose("p", 2500) == suspect);
@@ -126,24 +126,24 @@
   ReplicaQuery query;
   query.service = "s";
   query.isConnected = [&](const Replica& replica) { return &replica == connected.get(); };
-  CHECK(selector.choose(table, query, takesWork, now) == connected);
+  CHECK(selector.choose(table, query, acceptsRequests, now) == connected);
   connected->othersInFlight = 1;
-  CHECK(selector.choose(table, query, takesWork, now) == connected);
+  CHECK(selector.choose(table, query, acceptsRequests, now) == connected);
   connected->othersInFlight = 2;
-  CHECK(selector.choose(table, query, takesWork, now) == near);
+  CHECK(selector.choose(table, query, acceptsRequests, now) == near);
 }
 
-TEST(ReplicaSelector, usesADoubtedReplicaOnlyWhenThereIsNoOther) {
-  const ReplicaPtr doubted = add("doubted", "zone-a");
+TEST(ReplicaSelector, usesALapsedReplicaOnlyIfThereIsNoOther) {
+  const ReplicaPtr lapsed = add("doubted", "zone-a");
   const ReplicaPtr busy = add("busy", "zone-b");
-  doubted->doubtfulUntil = now + seconds(1);
+  lapsed->graceUntil = now + seconds(1);
   busy->othersInFlight = 100;
   CHECK(choose("p", 2500) == busy);
   busy->gone = true;
-  CHECK(choose("p", 2500) == doubted);
+  CHECK(choose("p", 2500) == lapsed);
 }
 
-TEST(ReplicaSelector, avoidsAReplicaThatAnswersFarSlowerThanTheOthers) {
+TEST(ReplicaSelector, avoidsAReplicaMuchSlowerThanTheMedian) {
   const ReplicaPtr slow = add("slow", "zone-a");
   add("b", "zone-a")->answerMilliseconds = 50;
   add("c", "zone-a")->answerMilliseconds = 50;
@@ -169,12 +169,12 @@
   add("c", "zone-c");
   const ReplicaPtr near = add("b", "zone-b");
   near->inFlight = 3;
-  CHECK(far.choose(table, query, takesWork, now) == near);
+  CHECK(far.choose(table, query, acceptsRequests, now) == near);
   near->inFlight = 5;
-  CHECK(far.choose(table, query, takesWork, now) != near);
+  CHECK(far.choose(table, query, acceptsRequests, now) != near);
 }
 
-TEST(ReplicaSelector, promptsGatherInTheNearestPlaceThatHasReplicas) {
+TEST(ReplicaSelector, cachesPromptsInTheNearestRegionWithReplicas) {
   const ZoneTable zones({{"zone-a", "west"}, {"zone-b", "west"}, {"zone-c", "east"}});
   const ReplicaSelector near("zone-a", {}, &zones);
   ReplicaQuery query;
@@ -184,14 +184,14 @@
   for (int replica = 0; replica < 4; ++replica) {
     add("c" + std::to_string(replica), "zone-c");
   }
-  const ReplicaPtr inEast = near.choose(table, query, takesWork, now);
+  const ReplicaPtr inEast = near.choose(table, query, acceptsRequests, now);
   inEast->inFlight = 3;
-  CHECK(near.choose(table, query, takesWork, now) == inEast);
+  CHECK(near.choose(table, query, acceptsRequests, now) == inEast);
   for (int replica = 0; replica < 4; ++replica) {
     add("b" + std::to_string(replica), "zone-b");
   }
-  const ReplicaPtr inWest = near.choose(table, query, takesWork, now);
+  const ReplicaPtr inWest = near.choose(table, query, acceptsRequests, now);
   STRCMP_EQUAL("zone-b", inWest->entry.zone.c_str());
   inWest->inFlight = 3;
-  CHECK(near.choose(table, query, takesWork, now) == inWest);
+  CHECK(near.choose(table, query, acceptsRequests, now) == inWest);
 }
--- a/tests/routing/replica_table_test.cpp
+++ b/tests/routing/replica_table_test.cpp
@@ -1,4 +1,4 @@
-// Registrations come, change and go; requests under way keep the replica they were sent to.
+// Changes of registrations, and grace periods of lapsed ones.
 #include "routing/replica_table.h"
 
 #include <CppUTest/TestHarness.h>
@@ -21,13 +21,13 @@
 
 TEST_GROUP(ReplicaTable) { ReplicaTable table; };
 
-TEST(ReplicaTable, tellsWhatChanged) {
+TEST(ReplicaTable, reportsChanges) {
   ReplicaEntry entry = entryOf("a", "s");
   CHECK(table.upsert(entry) == ReplicaChange::Added);
   CHECK(table.upsert(entry) == ReplicaChange::None);
   entry.draining = true;
   CHECK(table.upsert(entry) == ReplicaChange::Draining);
-  CHECK_FALSE(table.ofService("s").front()->takesWork());
+  CHECK_FALSE(table.ofService("s").front()->acceptsRequests());
   entry.draining = false;
   CHECK(table.upsert(entry) == ReplicaChange::Ready);
   CHECK(table.remove("a") == ReplicaChange::Removed);
@@ -35,11 +35,11 @@
   CHECK(table.ofService("s").empty());
 }
 
-TEST(ReplicaTable, aRemovedReplicaTakesNoWorkWhereItIsStillHeld) {
+TEST(ReplicaTable, aRemovedReplicaAcceptsNoRequestsWhileStillReferenced) {
   table.upsert(entryOf("a", "s"));
   const ReplicaPtr held = table.ofService("s").front();
   table.remove("a");
-  CHECK_FALSE(held->takesWork());
+  CHECK_FALSE(held->acceptsRequests());
 }
 
 TEST(ReplicaTable, movesBetweenServices) {
@@ -49,7 +49,7 @@
   LONGS_EQUAL(1, table.ofService("t").size());
 }
 
-TEST(ReplicaTable, namesWhatAListingMisses) {
+TEST(ReplicaTable, findsIdsMissingFromAListing) {
   table.upsert(entryOf("a", "s"));
   table.upsert(entryOf("b", "s"));
   const auto missing = table.missingFrom({"b", "c"});
@@ -62,13 +62,13 @@
   table.upsert(entryOf("a", "s"));
   CHECK(table.doubt("a", now + seconds(2)) == ReplicaChange::Doubted);
   CHECK(table.doubt("a", now + seconds(9)) == ReplicaChange::None);
-  CHECK_TRUE(table.ofService("s").front()->takesWork());
+  CHECK_TRUE(table.ofService("s").front()->acceptsRequests());
   CHECK(table.dropDoubtful(now + seconds(1)).empty());
   LONGS_EQUAL(1, table.dropDoubtful(now + seconds(2)).size());
   CHECK(table.ofService("s").empty());
 }
 
-TEST(ReplicaTable, aDoubtedReplicaThatRegistersAgainIsSound) {
+TEST(ReplicaTable, aNewRegistrationEndsTheGracePeriod) {
   const Instant now{seconds(100)};
   table.upsert(entryOf("a", "s"));
   table.doubt("a", now + seconds(2));
@@ -77,7 +77,7 @@
   LONGS_EQUAL(1, table.size());
 }
 
-TEST(ReplicaTable, aLeavingReplicaIsNotDoubtedButRemoved) {
+TEST(ReplicaTable, removesADrainingReplicaWithoutGracePeriod) {
   ReplicaEntry entry = entryOf("a", "s");
   entry.draining = true;
   table.upsert(entry);
