--- a/src/edge/datagram_socket.h
+++ b/src/edge/datagram_socket.h
@@ -1,4 +1,4 @@
-/// \file A bound UDP socket on the daemon's loop.
+/// \file Non-blocking UDP socket.
 #pragma once
 
 #include <array>
@@ -12,7 +12,8 @@
 
 namespace gorsetrail::edge {
 
-/// Datagrams may be lost, on the way or because a buffer is full: senders repeat what matters.
+/// A bound UDP socket on an event loop. Delivery is not guaranteed: datagrams are dropped in the
+/// network or when a buffer is full, so senders must repeat data that has to arrive.
 class DatagramSocket {
  public:
   using Endpoint = boost::asio::ip::udp::endpoint;
@@ -20,9 +21,11 @@
 
   DatagramSocket(boost::asio::io_context& context, Receiver receiver);
 
+  /// Binds the socket and starts to receive.
   /// \param address `ip:port`. Errors: `InvalidSettings`.
   Result<Success> listen(const std::string& address);
-  /// Sends at once or not at all; an address that is not `ip:port` gets nothing.
+  /// Sends without blocking. The datagram is dropped if it cannot be sent immediately or if the
+  /// address is not `ip:port`.
   void send(const std::string& address, std::string_view bytes);
 
  private:
--- a/src/edge/edge_context.h
+++ b/src/edge/edge_context.h
@@ -1,4 +1,4 @@
-/// \file What every request of an edge node shares.
+/// \file State and settings that all requests of an edge node share.
 #pragma once
 
 #include <cstdint>
@@ -18,52 +18,58 @@
 
 namespace gorsetrail::edge {
 
-/// Counts of what was done for requests; all only rise. What became of them, `EdgeMetrics` counts.
+/// Monotonic counters of work done for requests. `EdgeMetrics` counts the outcomes of requests.
 struct EdgeCounters {
   std::uint64_t dispatches = 0;
   std::uint64_t retries = 0;
   std::uint64_t resumes = 0;
 };
 
-/// When the node last had word of the store, and so how old its tables may be.
+/// When the node last read the store successfully; gives the age of its tables.
 struct Freshness {
   Instant configurationHeardAt;
   Instant replicasHeardAt;
 };
 
-/// Knobs of a request's life.
+/// Limits and timeouts of one request.
 struct ExchangeKnobs {
-  std::uint32_t maximumRefusedTries = 4;  ///< Replicas asked that did not run the request.
+  std::uint32_t maximumRefusedTries = 4;  ///< Attempts at replicas that did not run the request.
   std::uint32_t maximumResumes = 3;
-  /// With room for this many turns in the budget, a turn is sent before its reservation stands.
+  /// While the budget has room for this many turns, a turn is dispatched before its reservation is
+  /// recorded.
   std::uint32_t ampleBudgetTurns = 3;
+  /// How long a replica is avoided after a failure.
   Duration suspicionTime = milliseconds(1500);
+  /// How long a replica that refused a request is avoided; also the delay before the request is
+  /// retried.
   Duration fullTime = milliseconds(60);
   Duration retryAfterFull = milliseconds(150);
   Duration retryAfterStop = milliseconds(10);
   Duration retryAfterOverload = milliseconds(400);
-  /// A program that used this share of its budget probably loops.
+  /// A program that has used this share of its budget is treated as a probable infinite loop.
   double runawayShare = 0.75;
   Duration retryAfterStore = milliseconds(250);
   Duration retryAfterReservation = milliseconds(400);
-  /// A reservation is waited for no longer while others of the partition fail.
+  /// Longest wait for a reservation while other reservations of its partition fail.
   Duration unlikelyReservationLimit = milliseconds(300);
-  /// Likewise when it may fail: a slow store still answers within this.
+  /// Longest wait for a reservation that may fail; a slow store still answers within this time.
   Duration doubtfulReservationLimit = milliseconds(1000);
-  /// Before a reservation is asked for once more whose turn was dispatched beside it.
+  /// Delay before the retry of a reservation whose turn was dispatched while it was pending.
   Duration reservationPause = milliseconds(150);
   Duration connectTimeLimit = milliseconds(400);
-  /// A replica that says nothing to anybody for so long is asked for a connection.
+  /// After this time without any data from a replica, a test connection to it is opened.
   Duration silence = milliseconds(400);
-  /// A dispatch without any answer for so long counts as failed, so that others keep away.
+  /// A dispatch without a response for this time counts as failed, so that other requests avoid the
+  /// replica.
   Duration mute = milliseconds(1000);
-  /// It counts as ended when nothing answers within this.
+  /// Time limit of this test; a replica that does not answer may have ended.
   Duration reachabilityLimit = milliseconds(250);
-  /// A route that is not in a configuration this old may have been added since.
+  /// A route missing from a configuration older than this may have been added since.
   Duration configurationTrust = milliseconds(1800);
 };
 
-/// Owned by the daemon, or by a test; outlives every exchange.
+/// Services, tables and settings that requests use. Owned by the daemon or a test; outlives every
+/// exchange.
 struct EdgeContext {
   const WireAdapter& wire;
   routing::RouteTable& routes;
@@ -78,7 +84,7 @@
   EdgeCounters counters;
   Freshness freshness;
   ExchangeKnobs knobs;
-  bool takesRequests = true;  ///< False in the last part of a planned stop.
+  bool takesRequests = true;  ///< False during the last phase of a planned stop.
   TurnRetentionPolicy retention{};
 };
 
--- a/src/edge/edge_daemon.cpp
+++ b/src/edge/edge_daemon.cpp
@@ -19,15 +19,15 @@
 constexpr unsigned kUnavailable = 503;
 constexpr Duration kFlushPeriod = milliseconds(250);
 /// A loop that is late by so many periods stood still; a busy one is late by a part of one.
-constexpr int kMissedFlushes = 3;
+constexpr int kSuspendedAfterMissedFlushes = 3;
 constexpr Duration kSweepPeriod = seconds(10);
 constexpr Duration kLeasePeriod = seconds(1);
 constexpr Duration kStopCheckPeriod = milliseconds(100);
 /// Clients may hold this node's address for a while after it left the directory: so long are their
 /// requests taken. Later ones are told at once that they have not run, since the process may end
 /// before they do.
-constexpr Duration kTakesRequestsAfterStop = milliseconds(3000);
-constexpr Duration kShortestStop = milliseconds(3200);
+constexpr Duration kAcceptAfterStop = milliseconds(3000);
+constexpr Duration kMinimumStopTime = milliseconds(3200);
 /// Left of the stop limit for the end of the process.
 constexpr Duration kStopMargin = milliseconds(700);
 /// Clients ask again after this, so that a dead node is not used for long.
@@ -66,18 +66,18 @@
       log_(parts.log, clock_, {}),
       // The time of day may be set back between two starts of a node: the detector copes.
       peerMonitor_(
-          context, *timers_, clock_, Incarnation(millisecondsOfDay()), {}, seed,
+          context, *timers_, clock_, Incarnation(unixTimeMilliseconds()), {}, seed,
           [this](const std::string& ip, membership::MemberState state) { onPeerState(ip, state); }),
       members_({},
                [this](const std::string& ip) {
-                 return settings_.uses(Mechanism::PeerProbes) && peerMonitor_.isSilent(ip);
+                 return settings_.uses(Mechanism::PeerProbes) && peerMonitor_.isSuspectedOrDead(ip);
                }),
       relayedStore_(
           parts.peers,
           [this](const logstore::PartitionAddress& partition) { return otherRelays(partition); },
           seed),
       failoverStore_(parts.store, relayedStore_, clock_, {},
-                     [this](logstore::StoreWay way) { onStoreWay(way); }),
+                     [this](logstore::StoreWay way) { onStorePathChanged(way); }),
       store_(failoverStore_, *timers_, clock_, storePaceOf(settings_), seed),
       relayServer_(parts.store),
       announcer_(failoverStore_, *timers_, clock_, {kMemberTopic, 0},
@@ -137,7 +137,7 @@
                routes_,
                placement_,
                ledger_,
-               quotaInUse(),
+               selectQuotaAdmission(),
                parts.client,
                *timers_,
                clock_,
@@ -152,8 +152,8 @@
 
 EdgeDaemon::~EdgeDaemon() { log_.flush(); }
 
-ledger::LedgerKnobs EdgeDaemon::ledgerKnobs(std::uint64_t life) {
-  ledger::LedgerKnobs knobs = ledgerKnobsOf(settings_, life);
+ledger::LedgerKnobs EdgeDaemon::ledgerKnobs(std::uint64_t incarnation) {
+  ledger::LedgerKnobs knobs = ledgerKnobsOf(settings_, incarnation);
   knobs.budgets.onOwnLease = [this](const logstore::PartitionAddress& partition,
                                     const ledger::BudgetLease& lease) {
     const bool isHeld = lease.state == ledger::BudgetLeaseState::Held;
@@ -213,7 +213,7 @@
   return sources;
 }
 
-quota::QuotaAdmission& EdgeDaemon::quotaInUse() {
+quota::QuotaAdmission& EdgeDaemon::selectQuotaAdmission() {
   if (settings_.uses(Mechanism::QuotaTokens)) {
     return quotaExchange_;
   }
@@ -262,7 +262,7 @@
   options.knobs.maximumBodyBytes = routing::ClientLimits{}.maximumBodyBytes;
   options.knobs.maximumConnections = settings_.maximumDescriptors / 2;
   options.knobs.sweepPeriod = kServerSweepPeriod;
-  options.knobs.maximumUntakenBytes = untakenBytesOf(settings_);
+  options.knobs.maximumUntakenBytes = maximumUnreadBytesOf(settings_);
   options.onRequest = std::move(onRequest);
   options.onFault = [this](http::ProtocolFault fault) {
     const unsigned status = statusOf(fault);
@@ -290,27 +290,28 @@
     onDirectoryRequest(request, writer);
   };
   if (settings_.uses(Mechanism::TopicGateways)) {
-    sharedTopics_.share(configurationPartition(), configurationGateway_);
-    sharedTopics_.share(replicaPartition(), replicaGateway_);
-    sharedTopics_.share({kMemberTopic, 0}, memberGateway_);
+    sharedTopics_.routeThroughReader(configurationPartition(), configurationGateway_);
+    sharedTopics_.routeThroughReader(replicaPartition(), replicaGateway_);
+    sharedTopics_.routeThroughReader({kMemberTopic, 0}, memberGateway_);
   }
-  relayServer_.shareReads([this](const logstore::ReadRequest& request,
-                                 const logstore::StoreCallback<logstore::ReadReply>& reply) {
+  relayServer_.interceptReads([this](const logstore::ReadRequest& request,
+                                     const logstore::StoreCallback<logstore::ReadReply>& reply) {
     logstore::TopicGateway* const gateway = sharedTopics_.gatewayOf(request.partition);
     if (gateway != nullptr) {
       gateway->read(request, reply);
     }
     return gateway != nullptr;
   });
-  relayServer_.shareListings([this](const logstore::NewestRequest& request,
-                                    const logstore::StoreCallback<logstore::NewestReply>& reply) {
-    logstore::TopicGateway* const gateway = sharedTopics_.gatewayOf(request.partition);
-    if (gateway != nullptr) {
-      gateway->newest(request, reply);
-    }
-    return gateway != nullptr;
-  });
-  relayServer_.aggregateAppends({kMemberTopic, 0},
+  relayServer_.interceptListings(
+      [this](const logstore::NewestRequest& request,
+             const logstore::StoreCallback<logstore::NewestReply>& reply) {
+        logstore::TopicGateway* const gateway = sharedTopics_.gatewayOf(request.partition);
+        if (gateway != nullptr) {
+          gateway->newest(request, reply);
+        }
+        return gateway != nullptr;
+      });
+  relayServer_.interceptAppends({kMemberTopic, 0},
                                 [this](logstore::AppendRequest request,
                                        logstore::StoreCallback<logstore::AppendReply> callback) {
                                   announcer_.aggregate(std::move(request), std::move(callback));
@@ -352,12 +353,12 @@
 
 std::string EdgeDaemon::ownRelayAddress() const { return relayAddressOf(settings_); }
 
-void EdgeDaemon::onStoreWay(logstore::StoreWay way) {
+void EdgeDaemon::onStorePathChanged(logstore::StoreWay way) {
   log_.important("store_way", {{"way", way == logstore::StoreWay::Direct ? "direct" : "relay"}});
 }
 
 void EdgeDaemon::onClientRequest(http::ServerRequest request, http::ResponseWriterPtr writer) {
-  context_.takesRequests = !stopping_ || clock_() - stopBegunAt_ < kTakesRequestsAfterStop;
+  context_.takesRequests = !stopping_ || clock_() - stopStartedAt_ < kAcceptAfterStop;
   std::make_shared<Exchange>(context_, parts_.wire.readRequest(std::move(request)),
                              std::move(writer))
       ->start();
@@ -385,8 +386,8 @@
     writer->sendWhole({kNotFound, {}, {}});
     return;
   }
-  ClientPlace client{query->zone, zones_.regionOf(query->zone), &zones_,
-                     allowedRegionsOf(query->host)};
+  ClientLocation client{query->zone, zones_.regionOf(query->zone), &zones_,
+                        allowedRegionsOf(query->host)};
   if (client.region.empty()) {
     client.region = query->region;
   }
@@ -406,7 +407,7 @@
 }
 
 void EdgeDaemon::flushLoop() {
-  ranAt_ = clock_();
+  lastFlushAt_ = clock_();
   log_.flush();
   timers_->runAfter(kFlushPeriod, [this] { flushLoop(); });
 }
@@ -414,7 +415,7 @@
 void EdgeDaemon::sweepLoop() {
   ledger_.sweep();
   localLedger_.sweep();
-  for (const std::string& forgotten : members_.dropForgotten()) {
+  for (const std::string& forgotten : members_.removeExpired()) {
     peerMonitor_.forget(forgotten);
   }
   timers_->runAfter(kSweepPeriod, [this] { sweepLoop(); });
@@ -448,7 +449,7 @@
     return;
   }
   stopping_ = true;
-  stopBegunAt_ = stopAskedForAt();
+  stopStartedAt_ = earliestStopSignalTime();
   onStopped_ = std::move(onStopped);
   log_.important("stop_begun", {{"open_requests", clientServer_->counters().responsesOpen}});
   announce(true);
@@ -460,17 +461,17 @@
 // A process that stands still does not see the signal, and the operator's limit runs on: the stop
 // may have been asked for right after this process last ran. Without this it would wait past the
 // limit for its open requests and be killed amid them.
-Instant EdgeDaemon::stopAskedForAt() const {
+Instant EdgeDaemon::earliestStopSignalTime() const {
   const Instant now = clock_();
-  const bool stoodStill = now - ranAt_ > kFlushPeriod * kMissedFlushes;
-  return stoodStill ? ranAt_ : now;
+  const bool wasSuspended = now - lastFlushAt_ > kFlushPeriod * kSuspendedAfterMissedFlushes;
+  return wasSuspended ? lastFlushAt_ : now;
 }
 
 void EdgeDaemon::checkStopped() {
-  const Duration since = clock_() - stopBegunAt_;
+  const Duration since = clock_() - stopStartedAt_;
   const std::uint64_t open = clientServer_->counters().responsesOpen;
-  const bool timeIsUp = since >= settings_.bounds.stopLimit - kStopMargin;
-  if ((since >= kShortestStop && open == 0) || timeIsUp) {
+  const bool isLimitReached = since >= settings_.bounds.stopLimit - kStopMargin;
+  if ((since >= kMinimumStopTime && open == 0) || isLimitReached) {
     log_.important("stopped", {{"open_requests", open}});
     log_.flush();
     onStopped_();
--- a/src/edge/edge_daemon.h
+++ b/src/edge/edge_daemon.h
@@ -1,4 +1,4 @@
-/// \file Wires one edge node together: listeners, followers of the store, planned stop.
+/// \file The edge node: connects listeners, store followers, ledger, quota and routing.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -38,16 +38,18 @@
 
 namespace gorsetrail::edge {
 
-/// Parts from outside the product's core; they outlive the daemon.
+/// Dependencies that the embedding program provides; they outlive the daemon.
 struct EdgeParts {
   const WireAdapter& wire;
   const DocumentAdapter& documents;
-  logstore::LogStore& store;  ///< Single calls; the daemon adds the retries.
-  http::HttpClient& client;   ///< To replicas.
-  http::HttpClient& peers;    ///< To other nodes.
-  EventLog::Output log;       ///< Takes log lines.
+  logstore::LogStore& store;  ///< Makes single attempts; the daemon adds retries.
+  http::HttpClient& client;   ///< For calls to replicas.
+  http::HttpClient& peers;    ///< For calls to other edge nodes.
+  EventLog::Output log;       ///< Receives log lines.
 };
 
+/// One edge node. Accepts client requests, follows the store's topics (configuration, replicas,
+/// members), exchanges state with other nodes, and drains requests on a planned stop.
 class EdgeDaemon {
  public:
   EdgeDaemon(boost::asio::io_context& context, EdgeSettings settings, EdgeParts parts,
@@ -56,27 +58,28 @@
   EdgeDaemon(const EdgeDaemon&) = delete;
   EdgeDaemon& operator=(const EdgeDaemon&) = delete;
 
-  /// Listens and begins to follow the store. Errors: `InvalidSettings`.
+  /// Opens the listeners and starts to follow the store. Errors: `InvalidSettings`.
   Result<Success> start();
-  /// Planned stop: not ready at once, requests that were read end, then `onStopped`.
+  /// Starts a planned stop: readiness fails immediately, accepted requests finish, then `onStopped`
+  /// is called.
   void beginStop(std::function<void()> onStopped);
-  /// Takes over settings that may change in a running process; addresses to listen at may not.
+  /// Applies changed settings to the running process. Changed listen addresses are ignored.
   void reload(EdgeSettings settings);
-  /// New settings could not be read: the old ones stay.
+  /// Logs that new settings could not be read; the current ones stay in force.
   void refuseReload(const std::vector<Error>& errors);
-  /// For work beside the daemon's own on the same loop.
+  /// Timers on the daemon's event loop, for other work of the embedding program.
   [[nodiscard]] services::TimerService& timers() { return *timers_; }
 
  private:
-  /// The settings have another table of zones and regions.
+  /// Called when the settings' mapping of zones to regions has changed.
   void onZonesChanged();
-  [[nodiscard]] ledger::LedgerKnobs ledgerKnobs(std::uint64_t life);
+  [[nodiscard]] ledger::LedgerKnobs ledgerKnobs(std::uint64_t incarnation);
   [[nodiscard]] ledger::RoutedLedgerKnobs routedLedgerKnobs();
   Result<Success> listen();
   [[nodiscard]] logstore::PartitionAddress configurationPartition() const;
   [[nodiscard]] logstore::PartitionAddress replicaPartition() const;
   using RequestHandler = std::function<void(http::ServerRequest, http::ResponseWriterPtr)>;
-  /// Listens at the address; an empty one is passed over. Errors: `InvalidSettings`.
+  /// Opens an HTTP listener; an empty address is ignored. Errors: `InvalidSettings`.
   Result<Success> serve(http::HttpServerPtr& server, const std::string& address,
                         RequestHandler onRequest);
   void onClientRequest(http::ServerRequest request, http::ResponseWriterPtr writer);
@@ -86,84 +89,85 @@
   void followConfiguration();
   void followReplicas();
   void followMembers();
-  /// Takes one of the operators' records: a configuration, or an evacuated zone.
+  /// Handles a record that operators write: a configuration or a zone evacuation.
   void onOperatorRecord(const std::string& key, const std::string& value);
   void onConfigurationRecord(const std::string& value);
   void onEvacuationRecord(const std::string& zone, const std::string& value);
   void onOperatorRecordsListed(const std::vector<std::string>& keys);
-  /// \param by what told of it, for the log.
-  void onEvacuationTakenBack(const std::string& zone, std::string_view by);
-  void onReplicaLapsed(const std::string& id, std::string_view by);
-  [[nodiscard]] bool storeWasOutOfOrder() const;
+  /// \param source what reported the end of the evacuation, for the log.
+  void onEvacuationEnded(const std::string& zone, std::string_view source);
+  void onRegistrationLost(const std::string& id, std::string_view source);
+  [[nodiscard]] bool isOrWasStoreUnavailable() const;
   void onReplicaRecord(const std::string& id, const std::string& value);
   [[nodiscard]] bool isUnchangedRegistration(const std::string& older,
                                              const std::string& newer) const;
   void logReplicaChange(const routing::ReplicaEntry& entry);
-  /// Takes a start for untold that cannot be one.
-  void dropImplausibleStart(routing::ReplicaEntry& entry);
-  /// \return by this node's clock, when the entry's life began; see `routing::lifeBeganAt`.
-  [[nodiscard]] Instant beganAt(const routing::ReplicaEntry& entry) const;
-  /// \param before its earlier life; null where that was not registered any longer.
+  /// Clears a start time that lies too far in this node's future.
+  void clearImplausibleStart(routing::ReplicaEntry& entry);
+  /// \return the start of the replica process on this node's clock; see `routing::lifeBeganAt`.
+  [[nodiscard]] Instant startTimeOf(const routing::ReplicaEntry& entry) const;
+  /// \param before the replica's previous process; null if it was no longer registered.
   void onReplicaRestarted(const routing::ReplicaPtr& before, const routing::Replica& replica);
-  void onOutdatedEntry(const routing::ReplicaEntry& entry);
-  /// The replica's entry cannot be read: it names no replica to use.
+  void onOutdatedRegistration(const routing::ReplicaEntry& entry);
+  /// Removes a replica whose registration cannot be read.
   void onReplicaUnreadable(const std::string& id, const Error& error);
   void onMemberRecord(const std::string& key, const std::string& value);
-  /// Counts a record that cannot be read, and writes a line of it where one is due.
-  void noteUnreadable(RecordKind kind, const std::string& key, const Error& error);
+  /// Counts an unreadable record and logs it within the rate limit.
+  void reportUnreadableRecord(RecordKind kind, const std::string& key, const Error& error);
   [[nodiscard]] bool isStarting(std::string_view topic) const;
-  void noteStoreAnswer(std::string_view topic);
-  void noteStoreSilence(std::string_view topic, const logstore::StoreError& error);
-  /// \param urgent a change that others must know of at once.
-  /// \return whether the announcement is on its way.
+  void onTopicFresh(std::string_view topic);
+  void onTopicStale(std::string_view topic, const logstore::StoreError& error);
+  /// \param urgent the change must reach other nodes without delay.
+  /// \return whether the announcement was sent.
   bool announce(bool urgent);
   void announceLoop();
-  void paceFollowers();
+  void updateFollowerPauses();
   void loadLoop();
-  /// \return whether this node sends requests to replicas, or did a moment ago.
-  [[nodiscard]] bool sendsRequests();
-  /// \return where the nodes that take clients get digests of loads, this one left out.
+  /// \return whether this node serves clients, has requests in flight or has just dispatched some.
+  [[nodiscard]] bool isUsingReplicas();
+  /// \return the load digest addresses of the nodes that serve clients, except this node.
   [[nodiscard]] const LoadPeers& loadPeers();
   [[nodiscard]] routing::ColdReplicaSources coldReplicaSources();
-  void tendColdReplicas();
-  void logWhetherColdIsKnown();
+  void updateColdReplicas();
+  void logColdStateAvailability();
   void flushLoop();
   void sweepLoop();
   void leaseLoop();
-  /// \return when the stop was asked for at the earliest, as far as this process can know.
-  [[nodiscard]] Instant stopAskedForAt() const;
+  /// \return the earliest time at which the stop signal may have been sent. It is earlier than its
+  /// handling if the process was suspended.
+  [[nodiscard]] Instant earliestStopSignalTime() const;
   void checkStopped();
   [[nodiscard]] EdgeSnapshot snapshot() const;
-  void addTopicFigures(EdgeSnapshot& figures) const;
+  void addTopicMetrics(EdgeSnapshot& figures) const;
   [[nodiscard]] bool isReady() const;
-  /// \return whether there are internal ports, for calls between nodes.
+  /// \return whether this node has internal ports for calls between nodes.
   [[nodiscard]] bool hasPeers() const { return settings_.firstInternalPort != 0; }
   [[nodiscard]] std::string ownRelayAddress() const;
   [[nodiscard]] std::string ownLoadAddress() const;
-  /// \return relays that calls for the partition may go through.
+  /// \return other nodes through which store calls for the partition may be relayed.
   [[nodiscard]] std::vector<std::string> otherRelays(
       const logstore::PartitionAddress& partition) const;
-  /// \return the regions that a client of this host may be sent to besides its own; null: any.
+  /// \return the regions besides its own that a client of this host may be sent to; null: any.
   [[nodiscard]] const routing::RegionSet* allowedRegionsOf(const std::string& host) const;
-  /// \return nodes that may be homes of the ledger's partitions; none before the first list.
+  /// \return the nodes that may host ledger partitions; empty until the members have been listed.
   [[nodiscard]] const std::vector<ledger::HomeCandidate>& ledgerHomes();
   [[nodiscard]] QuotaSources quotaSources();
   [[nodiscard]] TopicReaderSources topicReaderSources();
-  /// \return what this node tells others of itself.
+  /// \return the member record that this node announces.
   [[nodiscard]] MemberRecord ownRecord() const;
-  /// \return nodes that may aggregate announcements; the zone's claimed reader while no member of
-  /// the zone is known.
+  /// \return nodes that may batch announcements; the zone's claimed reader while no member of the
+  /// zone is known.
   [[nodiscard]] std::vector<ledger::HomeCandidate> announcementAggregators();
-  [[nodiscard]] quota::QuotaAdmission& quotaInUse();
-  void onStoreWay(logstore::StoreWay way);
+  [[nodiscard]] quota::QuotaAdmission& selectQuotaAdmission();
+  void onStorePathChanged(logstore::StoreWay way);
   void onPeerState(const std::string& ip, membership::MemberState state);
   Result<Success> listenForPeers();
 
   boost::asio::io_context& ioContext_;
   EdgeSettings settings_;
   routing::ZoneTable zones_;
-  /// The newest configuration that could be read, where it was refused for a region that is not in
-  /// the table; empty otherwise.
+  /// The newest valid configuration if it was refused because it names an unknown region; empty
+  /// otherwise.
   std::string refusedConfiguration_;
   EdgeParts parts_;
   services::TimerServicePtr timers_;
@@ -198,7 +202,7 @@
   routing::RegionRule regionRule_;
   routing::EvacuationRule evacuationRule_;
   routing::ColdReplicaRule coldReplicas_;
-  std::optional<bool> isColdKnown_;  ///< As it was told last; unset: never.
+  std::optional<bool> loggedColdKnown_;  ///< As last logged; unset if never logged.
   routing::ReplicaPlacement placement_;
   routing::FleetLoad fleetLoad_;
   LoadExchange loadExchange_;
@@ -214,29 +218,34 @@
   std::shared_ptr<logstore::KeyedTopicFollower> replicaFollower_;
   std::shared_ptr<logstore::KeyedTopicFollower> memberFollower_;
   std::uint64_t seed_;
-  std::uint64_t beat_ = 0;
-  bool wasAnnouncedReady_ = false;
+  std::uint64_t announcementSequence_ = 0;
+  bool announcedReady_ = false;
   UnreadableRecords unreadableRecords_;
   bool membersListed_ = false;
   bool replicasListed_ = false;
-  std::uint64_t implausibleStarts_ = 0;  ///< Entries with a start that lies ahead of this node.
-  std::vector<ledger::HomeCandidate> ledgerHomes_;  ///< As of `ledgerHomesAt_`.
+  std::uint64_t implausibleStarts_ =
+      0;  ///< Registrations whose start time lies in this node's future.
+  std::vector<ledger::HomeCandidate> ledgerHomes_;  ///< Cached at `ledgerHomesAt_`.
   Instant ledgerHomesAt_;
-  LoadPeers loadPeers_;                    ///< As of `loadPeersAt_`.
-  std::vector<std::string> clientTakers_;  ///< Their addresses for clients, as of `loadPeersAt_`.
-  std::vector<routing::RingMember> ringMembers_;  ///< All members; as of `loadPeersAt_`.
+  LoadPeers loadPeers_;                           ///< Cached at `loadPeersAt_`.
+  std::vector<std::string> clientNodeAddresses_;  ///< Client addresses of the nodes that serve
+                                                  ///< clients; cached at `loadPeersAt_`.
+  std::vector<routing::RingMember> ringMembers_;  ///< All members; cached at `loadPeersAt_`.
   Instant loadPeersAt_;
-  bool takesClients_ = false;  ///< The directory names this node.
-  bool hasLoad_ = false;       ///< As of `loadsWalkedAt_`.
-  Instant loadsWalkedAt_;
-  std::uint64_t dispatchesSeen_ = 0;
-  std::set<std::string, std::less<>> lostTopics_;      ///< Followed, and not answered lately.
-  std::set<std::string, std::less<>> answeredTopics_;  ///< Once, since the start.
+  bool servesClients_ = false;  ///< Whether the directory names this node.
+  bool hasRequestsInFlight_ =
+      false;  ///< Whether any replica had requests of this node in flight at `loadScannedAt_`.
+  Instant loadScannedAt_;
+  std::uint64_t lastDispatchCount_ = 0;
+  std::set<std::string, std::less<>>
+      unavailableTopics_;  ///< Followed topics whose reads currently fail.
+  std::set<std::string, std::less<>>
+      everReadTopics_;  ///< Followed topics that were read at least once since the start.
   Instant startedAt_;
-  std::optional<Instant> storeRegainedAt_;
+  std::optional<Instant> storeRecoveredAt_;
   bool stopping_ = false;
-  Instant stopBegunAt_;
-  Instant ranAt_;  ///< As of the last turn of `flushLoop`.
+  Instant stopStartedAt_;
+  Instant lastFlushAt_;  ///< Time of the last run of `flushLoop`.
   std::function<void()> onStopped_;
 };
 
--- a/src/edge/edge_daemon_figures.cpp
+++ b/src/edge/edge_daemon_figures.cpp
@@ -16,7 +16,7 @@
   figures.storeGivenUp = store.givenUp;
   const ledger::RoutedLedgerCounters& calls = ledger_.counters();
   figures.ledgerCalls = calls.calls;
-  figures.ledgerCallsPassedOn = calls.passedOn;
+  figures.ledgerCallsForwarded = calls.passedOn;
   figures.ledgerCallsFailed = calls.failed;
   const ledger::BudgetCounters budgets = localLedger_.budgetCounters();
   figures.reservationsGrantedAhead = budgets.grantedAhead;
@@ -26,7 +26,7 @@
   figures.reservationsUncertain = budgets.uncertain + budgets.decidedTooLate;
   figures.grantsUnrecorded = localLedger_.unrecordedGrants();
   figures.storeThroughRelay = failoverStore_.isDirect() ? 0 : 1;
-  addTopicFigures(figures);
+  addTopicMetrics(figures);
   const quota::QuotaCounters quotas = quotaExchange_.counters();
   figures.quotaGrantedAtOnce = quotas.grantedAtOnce;
   figures.quotaGrantedAfterAsking = quotas.grantedAfterAsking;
@@ -48,26 +48,26 @@
   figures.callersCut = callers.callersCut;
   figures.replicas = replicas_.size();
   figures.replicasCold = coldReplicas_.coldReplicas();
-  figures.coldReplicasPassedOver = coldReplicas_.passedOver();
-  figures.members = members_.alive().size();
-  figures.membersSilent = peerMonitor_.silentNodes();
+  figures.coldReplicasSkipped = coldReplicas_.passedOver();
+  figures.members = members_.liveMembers().size();
+  figures.membersSilent = peerMonitor_.suspectedOrDeadNodes();
   figures.configurationVersion = routes_.inForce() ? routes_.inForce()->version.value() : 0;
   figures.configurationAgeMilliseconds =
       ageMilliseconds(now, context_.freshness.configurationHeardAt);
   figures.replicasAgeMilliseconds = ageMilliseconds(now, context_.freshness.replicasHeardAt);
-  figures.logLinesLeftOut = log_.leftOut();
+  figures.logLinesDropped = log_.leftOut();
   figures.replicaRecordsUnreadable = unreadableRecords_.count(RecordKind::Replica);
   figures.memberRecordsUnreadable = unreadableRecords_.count(RecordKind::Member);
   figures.configurationsUnreadable = unreadableRecords_.count(RecordKind::Configuration);
   figures.operatorRecordsUnreadable = unreadableRecords_.count(RecordKind::Operator);
-  figures.loadDigestsUnreadable = loadExchange_.unreadable();
+  figures.loadDigestsUnreadable = loadExchange_.unreadableDigests();
   for (const auto& [zone, since] : evacuations_.zones()) {
     figures.evacuatedZones.push_back({zone, ageMilliseconds(now, since)});
   }
   return figures;
 }
 
-void EdgeDaemon::addTopicFigures(EdgeSnapshot& figures) const {
+void EdgeDaemon::addTopicMetrics(EdgeSnapshot& figures) const {
   for (const logstore::TopicGateway* const gateway :
        {&configurationGateway_, &replicaGateway_, &memberGateway_}) {
     const logstore::TopicGatewayCounters& answered = gateway->counters();
@@ -77,7 +77,7 @@
     figures.topicGateways.bytes += answered.bytes;
     figures.topicGateways.unlisted += answered.unlisted;
   }
-  figures.readsForZone = topicReaders_.isReader() ? 1 : 0;
+  figures.isTopicReader = topicReaders_.isReader() ? 1 : 0;
 }
 
 }  // namespace gorsetrail::edge
--- a/src/edge/edge_daemon_followers.cpp
+++ b/src/edge/edge_daemon_followers.cpp
@@ -14,9 +14,9 @@
 /// Between two reads of the configuration; the zone's reader may add as much.
 constexpr Duration kConfigurationPause = milliseconds(200);
 /// A node's first answers come within 3.5 s of the start of 985 nodes at once.
-constexpr Duration kStartTime = milliseconds(4000);
+constexpr Duration kStartupTime = milliseconds(4000);
 /// Registrations that are missing so soon after an outage of the store lapsed because of it.
-constexpr Duration kOutageAftermath = milliseconds(2000);
+constexpr Duration kOutageRecoveryTime = milliseconds(2000);
 
 }  // namespace
 
@@ -33,10 +33,10 @@
   observer.onFresh = [this](Instant askedAt) {
     context_.freshness.configurationHeardAt = askedAt;
     coldReplicas_.onEvacuationsFresh(askedAt);
-    noteStoreAnswer("configuration");
+    onTopicFresh("configuration");
   };
   observer.onStale = [this](const logstore::StoreError& error) {
-    noteStoreSilence("configuration", error);
+    onTopicStale("configuration", error);
   };
   configurationFollower_ = std::make_shared<logstore::KeyedTopicFollower>(
       sharedTopics_, *timers_, clock_, configurationPartition(), knobs, observer,
@@ -52,14 +52,15 @@
   } else if (value.empty()) {
     unreadableRecords_.onReadable(RecordKind::Operator, key);
   } else {
-    noteUnreadable(RecordKind::Operator, key,
-                   {ErrorKind::InvalidField, "key",
-                    "it is neither the configuration's nor that of an evacuated zone",
-                    "remove the record, or correct the zone's name"});
+    reportUnreadableRecord(RecordKind::Operator, key,
+                           {ErrorKind::InvalidField, "key",
+                            "it is neither the configuration's nor that of an evacuated zone",
+                            "remove the record, or correct the zone's name"});
   }
 }
 
-void EdgeDaemon::noteUnreadable(RecordKind kind, const std::string& key, const Error& error) {
+void EdgeDaemon::reportUnreadableRecord(RecordKind kind, const std::string& key,
+                                        const Error& error) {
   static constexpr std::array<std::string_view, kRecordKinds> kEvents = {
       "replica_unreadable", "member_unreadable", "configuration_unreadable",
       "operator_record_unreadable"};
@@ -72,7 +73,7 @@
 void EdgeDaemon::onEvacuationRecord(const std::string& zone, const std::string& value) {
   if (value.empty()) {
     if (evacuations_.onTakenBack(zone)) {
-      onEvacuationTakenBack(zone, "record");
+      onEvacuationEnded(zone, "record");
     }
   } else if (evacuations_.onEvacuated(zone, clock_())) {
     log_.important("zone_evacuated", {{"zone", zone}});
@@ -89,13 +90,13 @@
   }
   coldReplicas_.onEvacuationsListed(clock_());
   for (const std::string& zone : evacuations_.onListed(zones)) {
-    onEvacuationTakenBack(zone, "listing");
+    onEvacuationEnded(zone, "listing");
   }
 }
 
-void EdgeDaemon::onEvacuationTakenBack(const std::string& zone, std::string_view by) {
+void EdgeDaemon::onEvacuationEnded(const std::string& zone, std::string_view source) {
   coldReplicas_.onZoneReturned(zone, clock_());
-  log_.important("evacuation_taken_back", {{"zone", zone}, {"by", by}});
+  log_.important("evacuation_taken_back", {{"zone", zone}, {"by", source}});
 }
 
 void EdgeDaemon::onConfigurationRecord(const std::string& value) {
@@ -107,7 +108,7 @@
   if (!succeeded(read)) {
     // The one before stays in force. Operators correct one fault after the other: each gets a line.
     unreadableRecords_.onReadable(RecordKind::Configuration, key);
-    noteUnreadable(RecordKind::Configuration, key, errorOf(read));
+    reportUnreadableRecord(RecordKind::Configuration, key, errorOf(read));
     return;
   }
   refusedConfiguration_.clear();
@@ -125,7 +126,7 @@
   const std::uint64_t version = configuration->version.value();
   const std::uint64_t routes = configuration->routes.size();
   const bool newer = routes_.apply(std::move(configuration));
-  tendColdReplicas();  // Replicas that were listed first may bear less than was known.
+  updateColdReplicas();  // Replicas that were listed first may bear less than was known.
   log_.important(newer ? "configuration_in_force" : "configuration_not_newer",
                  {{"version", version}, {"routes", routes}});
 }
@@ -148,7 +149,7 @@
   observer.onListed = [this](const std::vector<std::string>& keys) {
     unreadableRecords_.onListed(RecordKind::Replica, keys);
     for (const std::string& missing : replicas_.missingFrom(keys)) {
-      onReplicaLapsed(missing, "listing");
+      onRegistrationLost(missing, "listing");
     }
     replicasListed_ = true;
     log_.important("replicas_listed", {{"count", std::uint64_t{keys.size()}}});
@@ -156,37 +157,37 @@
   observer.onFresh = [this](Instant askedAt) {
     context_.freshness.replicasHeardAt = askedAt;
     coldReplicas_.onFresh(askedAt);
-    noteStoreAnswer("replicas");
-  };
-  observer.onStale = [this](const logstore::StoreError& error) {
-    noteStoreSilence("replicas", error);
+    onTopicFresh("replicas");
   };
+  observer.onStale = [this](const logstore::StoreError& error) { onTopicStale("replicas", error); };
   replicaFollower_ = std::make_shared<logstore::KeyedTopicFollower>(
       sharedTopics_, *timers_, clock_, replicaPartition(), logstore::KeyedTopicFollowerKnobs{},
       observer, &replicaCopy_, seed_);
   replicaFollower_->start();
 }
 
-bool EdgeDaemon::storeWasOutOfOrder() const {
-  const bool justRegained = storeRegainedAt_ && clock_() - *storeRegainedAt_ < kOutageAftermath;
-  return settings_.uses(Mechanism::RegistrationDoubt) && (!lostTopics_.empty() || justRegained);
+bool EdgeDaemon::isOrWasStoreUnavailable() const {
+  const bool justRegained =
+      storeRecoveredAt_ && clock_() - *storeRecoveredAt_ < kOutageRecoveryTime;
+  return settings_.uses(Mechanism::RegistrationDoubt) &&
+         (!unavailableTopics_.empty() || justRegained);
 }
 
-void EdgeDaemon::onReplicaLapsed(const std::string& id, std::string_view by) {
+void EdgeDaemon::onRegistrationLost(const std::string& id, std::string_view source) {
   // Replicas could not renew their registrations while the store was out of order.
-  const routing::ReplicaChange change = storeWasOutOfOrder()
+  const routing::ReplicaChange change = isOrWasStoreUnavailable()
                                             ? replicas_.doubt(id, clock_() + settings_.bounds.drain)
                                             : replicas_.remove(id);
   if (change != routing::ReplicaChange::None) {
     const bool doubted = change == routing::ReplicaChange::Doubted;
-    log_.important(doubted ? "replica_doubted" : "replica_gone", {{"replica", id}, {"by", by}});
+    log_.important(doubted ? "replica_doubted" : "replica_gone", {{"replica", id}, {"by", source}});
   }
 }
 
 void EdgeDaemon::onReplicaRecord(const std::string& id, const std::string& value) {
   if (value.empty()) {
     unreadableRecords_.onReadable(RecordKind::Replica, id);
-    onReplicaLapsed(id, "record");
+    onRegistrationLost(id, "record");
     return;
   }
   auto read = parts_.documents.readReplicaEntry(id, value);
@@ -196,12 +197,12 @@
   }
   unreadableRecords_.onReadable(RecordKind::Replica, id);
   routing::ReplicaEntry& entry = valueOf(read);
-  dropImplausibleStart(entry);
+  clearImplausibleStart(entry);
   const routing::ReplicaPtr before = replicas_.find(id);
   const bool wasStartUntold = before && before->startUntold;
-  const routing::ReplicaChange change = replicas_.upsert(entry, beganAt(entry));
+  const routing::ReplicaChange change = replicas_.upsert(entry, startTimeOf(entry));
   if (change == routing::ReplicaChange::Outdated) {
-    onOutdatedEntry(entry);
+    onOutdatedRegistration(entry);
     return;
   }
   const routing::ReplicaPtr replica = replicas_.find(id);
@@ -232,8 +233,8 @@
   }
 }
 
-void EdgeDaemon::dropImplausibleStart(routing::ReplicaEntry& entry) {
-  if (!entry.startedAt || routing::isPlausible(*entry.startedAt, millisecondsOfDay())) {
+void EdgeDaemon::clearImplausibleStart(routing::ReplicaEntry& entry) {
+  if (!entry.startedAt || routing::isPlausible(*entry.startedAt, unixTimeMilliseconds())) {
     return;
   }
   // It comes again with every heartbeat: the lines get rarer.
@@ -246,8 +247,8 @@
   entry.startedAt.reset();
 }
 
-Instant EdgeDaemon::beganAt(const routing::ReplicaEntry& entry) const {
-  return entry.startedAt ? routing::lifeBeganAt(*entry.startedAt, millisecondsOfDay(), clock_())
+Instant EdgeDaemon::startTimeOf(const routing::ReplicaEntry& entry) const {
+  return entry.startedAt ? routing::lifeBeganAt(*entry.startedAt, unixTimeMilliseconds(), clock_())
                          : Instant::max();
 }
 
@@ -267,7 +268,7 @@
                   {"in_flight", std::uint64_t{before ? before->inFlight : 0}}});
 }
 
-void EdgeDaemon::onOutdatedEntry(const routing::ReplicaEntry& entry) {
+void EdgeDaemon::onOutdatedRegistration(const routing::ReplicaEntry& entry) {
   const std::uint64_t count = replicas_.outdatedEntries();
   // Two processes under one id make such an entry with every heartbeat: the lines get rarer.
   if (std::has_single_bit(count)) {
@@ -279,7 +280,7 @@
 }
 
 void EdgeDaemon::onReplicaUnreadable(const std::string& id, const Error& error) {
-  noteUnreadable(RecordKind::Replica, id, error);
+  reportUnreadableRecord(RecordKind::Replica, id, error);
   // Removed, not doubted: doubt is for replicas that could not renew their registrations and most
   // likely live. This one was written, and nobody can say any more who is at the address known
   // before: requests sent there could run at another replica. Those under way go on.
@@ -294,7 +295,7 @@
     if (value.empty()) {
       unreadableRecords_.onReadable(RecordKind::Member, key);
     } else {
-      noteUnreadable(RecordKind::Member, key, errorOf(record));
+      reportUnreadableRecord(RecordKind::Member, key, errorOf(record));
     }
     members_.remove(key);
     peerMonitor_.forget(key);
@@ -311,7 +312,7 @@
 
 void EdgeDaemon::followMembers() {
   logstore::KeyedTopicFollowerKnobs knobs;
-  knobs.pause = kShortestMemberPause;
+  knobs.pause = kMinimumMemberPause;
   logstore::KeyedTopicObserver observer;
   observer.onRecord = [this](const std::string& key, const std::string& value) {
     onMemberRecord(key, value);
@@ -325,40 +326,38 @@
     }
   };
   observer.onFresh = [this](Instant askedAt) {
-    members_.onFresh(askedAt);
-    noteStoreAnswer("members");
-  };
-  observer.onStale = [this](const logstore::StoreError& error) {
-    noteStoreSilence("members", error);
+    members_.onRecordsRead(askedAt);
+    onTopicFresh("members");
   };
+  observer.onStale = [this](const logstore::StoreError& error) { onTopicStale("members", error); };
   memberFollower_ = std::make_shared<logstore::KeyedTopicFollower>(
       sharedTopics_, *timers_, clock_, logstore::PartitionAddress{kMemberTopic, 0}, knobs, observer,
       &memberCopy_, seed_);
   memberFollower_->start();
 }
 
-void EdgeDaemon::noteStoreAnswer(std::string_view topic) {
-  answeredTopics_.emplace(topic);
-  const auto lost = lostTopics_.find(topic);
-  if (lost == lostTopics_.end()) {
+void EdgeDaemon::onTopicFresh(std::string_view topic) {
+  everReadTopics_.emplace(topic);
+  const auto lost = unavailableTopics_.find(topic);
+  if (lost == unavailableTopics_.end()) {
     return;
   }
-  lostTopics_.erase(lost);
-  storeRegainedAt_ = clock_();
+  unavailableTopics_.erase(lost);
+  storeRecoveredAt_ = clock_();
   log_.important("store_regained", {{"topic", topic}, {"address", settings_.store.address}});
 }
 
 // Until a zone's reader has listed the topics a starting node gets no answer: that is no outage, in
 // which replicas could not renew their registrations and lapsed ones would have to be doubted.
 bool EdgeDaemon::isStarting(std::string_view topic) const {
-  return !answeredTopics_.contains(topic) && clock_() - startedAt_ < kStartTime;
+  return !everReadTopics_.contains(topic) && clock_() - startedAt_ < kStartupTime;
 }
 
-void EdgeDaemon::noteStoreSilence(std::string_view topic, const logstore::StoreError& error) {
+void EdgeDaemon::onTopicStale(std::string_view topic, const logstore::StoreError& error) {
   if (isStarting(topic)) {
     return;
   }
-  if (!lostTopics_.emplace(topic).second) {
+  if (!unavailableTopics_.emplace(topic).second) {
     return;
   }
   const Instant now = clock_();
--- a/src/edge/edge_daemon_peers.cpp
+++ b/src/edge/edge_daemon_peers.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Between two reads of the replicas' registrations: 250 reads a second at a zone's reader.
-constexpr Duration kShortestReplicaPause = milliseconds(400);
+constexpr Duration kMinimumReplicaPause = milliseconds(400);
 constexpr Duration kReplicaPausePerMember = milliseconds(4);
 /// Between two reads of the members: 100 a second at a zone's reader. Probes tell of an end sooner.
 constexpr Duration kMemberPausePerMember = milliseconds(10);
@@ -22,13 +22,13 @@
 /// ends.
 constexpr Duration kIdleLoadPeriod = seconds(1);
 /// Who takes clients changes with a node's end or start; clients learn of it within a second too.
-constexpr Duration kLoadPeersRefresh = milliseconds(500);
+constexpr Duration kLoadPeersCacheTime = milliseconds(500);
 /// Otherwise the list is made from all members for each ledger call. Members change their state
 /// less often than this.
-constexpr Duration kLedgerHomesRefresh = milliseconds(50);
+constexpr Duration kLedgerHomesCacheTime = milliseconds(50);
 
 /// Of one look at all replicas: a zone's return changes a zone's replicas at once.
-constexpr std::size_t kMostColdLines = 32;
+constexpr std::size_t kMaximumColdLines = 32;
 
 }  // namespace
 
@@ -66,7 +66,7 @@
   // The text of a confined turn goes only through nodes of its region.
   const auto confinedTo = ledger::LedgerPartitions::confinedZoneOf(partition);
   std::vector<std::string> addresses;
-  for (const MemberRecord& member : members_.alive()) {
+  for (const MemberRecord& member : members_.liveMembers()) {
     const bool isAllowed =
         !confinedTo || zones_.between(*confinedTo, member.zone) != routing::Distance::OtherRegion;
     if (isAllowed && !member.relayAddress.empty() && member.relayAddress != ownRelayAddress()) {
@@ -89,12 +89,12 @@
 
 const std::vector<ledger::HomeCandidate>& EdgeDaemon::ledgerHomes() {
   const Instant now = clock_();
-  if (!membersListed_ || now - ledgerHomesAt_ < kLedgerHomesRefresh) {
+  if (!membersListed_ || now - ledgerHomesAt_ < kLedgerHomesCacheTime) {
     return ledgerHomes_;
   }
   ledgerHomesAt_ = now;
   ledgerHomes_.clear();
-  for (const MemberRecord& member : members_.alive()) {
+  for (const MemberRecord& member : members_.liveMembers()) {
     if (!member.relayAddress.empty() && !member.leaving) {
       ledgerHomes_.push_back({member.relayAddress, member.zone, member.capacity});
     }
@@ -108,7 +108,7 @@
           settings_.listen.clients,
           hasPeers() ? ownRelayAddress() : std::string(),
           !isReady(),
-          beat_,
+          announcementSequence_,
           capacityOf(settings_)};
 }
 
@@ -125,7 +125,7 @@
 }
 
 bool EdgeDaemon::announce(bool urgent) {
-  ++beat_;
+  ++announcementSequence_;
   return announcer_.announce(ownRelayAddress(), settings_.ip, ownRecord(),
                              announcementAggregators(), urgent);
 }
@@ -136,53 +136,53 @@
 // runs.
 void EdgeDaemon::announceLoop() {
   const bool ready = isReady();
-  bool isToldReady = wasAnnouncedReady_ == ready;
-  if (membersListed_ && (ready || wasAnnouncedReady_) && announce(false)) {
-    wasAnnouncedReady_ = ready;
-    isToldReady = true;
+  bool isReadinessAnnounced = announcedReady_ == ready;
+  if (membersListed_ && (ready || announcedReady_) && announce(false)) {
+    announcedReady_ = ready;
+    isReadinessAnnounced = true;
   }
-  paceFollowers();
-  const bool isSteady = membersListed_ && ready && isToldReady;
+  updateFollowerPauses();
+  const bool isSteady = membersListed_ && ready && isReadinessAnnounced;
   timers_->runAfter(isSteady ? members_.heartbeat() : kAnnounceCheckPeriod,
                     [this] { announceLoop(); });
 }
 
 // All nodes of a zone ask its reader: the pauses grow with the zone, within what the bounds allow.
-void EdgeDaemon::paceFollowers() {
-  const auto members = static_cast<Duration::rep>(members_.countIn(settings_.zone));
+void EdgeDaemon::updateFollowerPauses() {
+  const auto members = static_cast<Duration::rep>(members_.countServingIn(settings_.zone));
   const Duration longest = settings_.bounds.drain / 2;
   replicaFollower_->setPause(
-      std::clamp(kReplicaPausePerMember * members, kShortestReplicaPause, longest));
-  memberFollower_->setPause(std::max(kMemberPausePerMember * members, kShortestMemberPause));
+      std::clamp(kReplicaPausePerMember * members, kMinimumReplicaPause, longest));
+  memberFollower_->setPause(std::max(kMemberPausePerMember * members, kMinimumMemberPause));
 }
 
 // Walking 10,000 replicas takes a millisecond and more, a tenth of what a node with 0.12 of a core
 // may use between two turns; a node that sends nothing has no load to tell and none to weigh.
-bool EdgeDaemon::sendsRequests() {
+bool EdgeDaemon::isUsingReplicas() {
   const std::uint64_t dispatches = context_.counters.dispatches;
-  const bool sent = std::exchange(dispatchesSeen_, dispatches) != dispatches;
-  return takesClients_ || hasLoad_ || sent;
+  const bool sent = std::exchange(lastDispatchCount_, dispatches) != dispatches;
+  return servesClients_ || hasRequestsInFlight_ || sent;
 }
 
 void EdgeDaemon::loadLoop() {
   const LoadPeers& peers = loadPeers();
-  if (!sendsRequests() && clock_() - loadsWalkedAt_ < kIdleLoadPeriod) {
+  if (!isUsingReplicas() && clock_() - loadScannedAt_ < kIdleLoadPeriod) {
     timers_->runAfter(kLoadPeriod, [this] { loadLoop(); });
     return;
   }
-  loadsWalkedAt_ = clock_();
+  loadScannedAt_ = clock_();
   const std::vector<routing::ReplicaPtr> replicas = replicas_.all();
   const bool isIdle =
       std::all_of(replicas.begin(), replicas.end(),
                   [](const routing::ReplicaPtr& replica) { return replica->inFlight == 0; });
-  hasLoad_ = !isIdle;
-  if (takesClients_ || !isIdle) {
+  hasRequestsInFlight_ = !isIdle;
+  if (servesClients_ || !isIdle) {
     loadExchange_.send(replicas, peers, clock_());
   }
   if (settings_.uses(Mechanism::LoadDigests)) {
-    fleetLoad_.apply(replicas_, {peers.near.size(), peers.far.size()}, clock_());
+    fleetLoad_.apply(replicas_, {peers.sameRegion.size(), peers.otherRegions.size()}, clock_());
   }
-  tendColdReplicas();
+  updateColdReplicas();
   for (const std::string& dropped : replicas_.dropDoubtful(clock_())) {
     log_.important("replica_gone", {{"replica", dropped}, {"by", "doubt"}});
   }
@@ -199,15 +199,15 @@
     const auto found = configuration->services.find(name);
     return found == configuration->services.end() ? nullptr : &found->second;
   };
-  sources.nodes = [this]() -> const std::vector<std::string>& { return clientTakers_; };
+  sources.nodes = [this]() -> const std::vector<std::string>& { return clientNodeAddresses_; };
   sources.members = [this]() -> const std::vector<routing::RingMember>& { return ringMembers_; };
   return sources;
 }
 
-void EdgeDaemon::tendColdReplicas() {
+void EdgeDaemon::updateColdReplicas() {
   std::size_t lines = 0;
   for (const routing::ColdReplicaChange& change : coldReplicas_.tend(replicas_.all(), clock_())) {
-    if (++lines > kMostColdLines) {
+    if (++lines > kMaximumColdLines) {
       continue;  // The gauge tells how many there are.
     }
     log_.important(change.isCold ? "replica_cold" : "replica_warm",
@@ -216,40 +216,40 @@
                     {"for_ms", static_cast<std::uint64_t>(toMilliseconds(change.remaining))},
                     {"feeder", std::uint64_t{change.isFeeder ? 1U : 0U}}});
   }
-  logWhetherColdIsKnown();
+  logColdStateAvailability();
 }
 
 // What a node may send to replicas that may be cold depends on it: without this line nobody could
 // tell from the logs which nodes knew.
-void EdgeDaemon::logWhetherColdIsKnown() {
+void EdgeDaemon::logColdStateAvailability() {
   const bool isKnown = coldReplicas_.isSure(clock_());
-  if (coldReplicas_.limitedReplicas() == 0 || isColdKnown_ == isKnown) {
+  if (coldReplicas_.limitedReplicas() == 0 || loggedColdKnown_ == isKnown) {
     return;
   }
-  isColdKnown_ = isKnown;
+  loggedColdKnown_ = isKnown;
   log_.important(isKnown ? "cold_states_known" : "cold_states_unknown",
                  {{"members", std::uint64_t{members_.size()}},
-                  {"client_takers", std::uint64_t{clientTakers_.size()}},
+                  {"client_takers", std::uint64_t{clientNodeAddresses_.size()}},
                   {"replicas", std::uint64_t{coldReplicas_.limitedReplicas()}}});
 }
 
 const LoadPeers& EdgeDaemon::loadPeers() {
   const Instant now = clock_();
-  if (now - loadPeersAt_ < kLoadPeersRefresh) {
+  if (now - loadPeersAt_ < kLoadPeersCacheTime) {
     return loadPeers_;
   }
   loadPeersAt_ = now;
   loadPeers_ = {};
-  clientTakers_.clear();
-  takesClients_ = false;
+  clientNodeAddresses_.clear();
+  servesClients_ = false;
   ringMembers_.clear();
   for (const std::string& zone : settings_.zones) {
     const bool isFar = zones_.between(settings_.zone, zone) == routing::Distance::OtherRegion;
-    std::vector<std::string>& peers = isFar ? loadPeers_.far : loadPeers_.near;
-    for (const MemberRecord& member : members_.servingIn(zone)) {
-      clientTakers_.push_back(member.clientAddress);
+    std::vector<std::string>& peers = isFar ? loadPeers_.otherRegions : loadPeers_.sameRegion;
+    for (const MemberRecord& member : members_.namedNodesIn(zone)) {
+      clientNodeAddresses_.push_back(member.clientAddress);
       if (member.clientAddress == settings_.listen.clients) {
-        takesClients_ = true;
+        servesClients_ = true;
       } else if (!member.relayAddress.empty()) {
         // Ports are alike on all machines: loads arrive one port above store calls.
         const std::string& relay = member.relayAddress;
@@ -263,7 +263,7 @@
   } else {
     // By half a list this node could take itself for a cold replica's feeder, or owner, beside
     // those that all others agree on.
-    clientTakers_.clear();
+    clientNodeAddresses_.clear();
   }
   return loadPeers_;
 }
--- a/src/edge/edge_knobs.cpp
+++ b/src/edge/edge_knobs.cpp
@@ -16,12 +16,13 @@
 
 double capacityOf(const EdgeSettings& settings) {
   // From this link on the processor is what a home runs out of first: 1 ms for a turn of 100 KB.
-  constexpr double kWideLinkMegabitsPerSecond = 1000;
-  const double link = std::min(1.0, settings.linkMegabitsPerSecond / kWideLinkMegabitsPerSecond);
+  constexpr double kReferenceLinkMegabitsPerSecond = 1000;
+  const double link =
+      std::min(1.0, settings.linkMegabitsPerSecond / kReferenceLinkMegabitsPerSecond);
   return settings.processorShare * link;
 }
 
-ledger::LedgerKnobs ledgerKnobsOf(const EdgeSettings& settings, std::uint64_t life) {
+ledger::LedgerKnobs ledgerKnobsOf(const EdgeSettings& settings, std::uint64_t incarnation) {
   constexpr std::uint64_t kShareOfMemory = 4;
   ledger::LedgerKnobs knobs;
   knobs.zone = settings.zone;
@@ -29,12 +30,12 @@
   knobs.maximumRecordBytes = settings.store.maximumRecordBytes;
   knobs.cacheBytes = settings.memoryBytes / kShareOfMemory;
   knobs.budgets.holder = relayAddressOf(settings);
-  knobs.budgets.life = std::to_string(life);
+  knobs.budgets.life = std::to_string(incarnation);
   knobs.budgets.leases.enabled = settings.uses(Mechanism::BudgetLeases);
   return knobs;
 }
 
-std::uint64_t untakenBytesOf(const EdgeSettings& settings) {
+std::uint64_t maximumUnreadBytesOf(const EdgeSettings& settings) {
   // Caches of the log take a quarter, a resting process some 20 MB: of 88 MB, 11 for each of the
   // listeners that callers and nodes use leave room for the requests under way.
   constexpr std::uint64_t kShareOfMemory = 8;
--- a/src/edge/edge_knobs.h
+++ b/src/edge/edge_knobs.h
@@ -1,4 +1,5 @@
-/// \file Knobs of the daemon's parts, from the settings and the mechanisms that are in use.
+/// \file Derives the settings of the daemon's components from the node's settings and the enabled
+/// mechanisms.
 #pragma once
 
 #include <cstdint>
@@ -14,18 +15,18 @@
 
 namespace gorsetrail::edge {
 
-/// \return where store and ledger calls of other nodes arrive.
+/// \return the address at which this node accepts store and ledger calls of other nodes.
 std::string relayAddressOf(const EdgeSettings& settings);
 
-/// \return how much of the work that nodes share this one takes, against others: its share of a
-/// core, less where its link is narrow, since homes and readers carry the text of others.
+/// \return this node's relative weight when nodes share work: its share of a core, scaled down for
+/// narrow links, because ledger hosts and topic readers transfer data for other nodes.
 double capacityOf(const EdgeSettings& settings);
 
-/// \param life differs between processes.
-ledger::LedgerKnobs ledgerKnobsOf(const EdgeSettings& settings, std::uint64_t life);
+/// \param incarnation unique for each process.
+ledger::LedgerKnobs ledgerKnobsOf(const EdgeSettings& settings, std::uint64_t incarnation);
 
-/// \return bytes of responses that callers may leave untaken, of one listener.
-std::uint64_t untakenBytesOf(const EdgeSettings& settings);
+/// \return for one listener, the maximum bytes of responses that clients have not read yet.
+std::uint64_t maximumUnreadBytesOf(const EdgeSettings& settings);
 
 logstore::CallPacerKnobs storePaceOf(const EdgeSettings& settings);
 
--- a/src/edge/edge_metrics.cpp
+++ b/src/edge/edge_metrics.cpp
@@ -32,7 +32,7 @@
 void addTopics(metrics::FamilyList& list, const EdgeSnapshot& snapshot) {
   list.gauge("topics_listed", "Followed topics that were listed, of 3", snapshot.topicsListed);
   list.gauge("topic_reader", "1 at the node that reads followed topics for its zone",
-             snapshot.readsForZone);
+             snapshot.isTopicReader);
   const logstore::TopicGatewayCounters& answered = snapshot.topicGateways;
   list.family("topic_answers_total", "Answers from the copies of followed topics",
               MetricType::Counter);
@@ -45,7 +45,7 @@
 void addLedger(metrics::FamilyList& list, const EdgeSnapshot& snapshot) {
   list.family("ledger_calls_total", "Calls to homes by result", MetricType::Counter);
   list.add(snapshot.ledgerCalls, {{"result", "started"}});
-  list.add(snapshot.ledgerCallsPassedOn, {{"result", "passed_on"}});
+  list.add(snapshot.ledgerCallsForwarded, {{"result", "passed_on"}});
   list.add(snapshot.ledgerCallsFailed, {{"result", "failed"}});
   list.family("reservations_total", "Budget decisions at this node by result", MetricType::Counter);
   list.add(snapshot.reservationsGrantedAhead, {{"result", "granted_ahead"}});
@@ -88,12 +88,12 @@
                snapshot.loadDigestsUnreadable);
 }
 
-void addBeliefs(metrics::FamilyList& list, const EdgeSnapshot& snapshot) {
+void addClusterState(metrics::FamilyList& list, const EdgeSnapshot& snapshot) {
   list.gauge("replicas", "Registered replicas", snapshot.replicas);
   list.gauge("replicas_cold", "Registered replicas that count as cold", snapshot.replicasCold);
   list.counter("cold_replicas_passed_over_total",
                "Looks at a replica that got no request because it is or may be cold",
-               snapshot.coldReplicasPassedOver);
+               snapshot.coldReplicasSkipped);
   list.gauge("members", "Nodes believed alive", snapshot.members);
   list.gauge("members_silent", "Nodes that do not answer probes", snapshot.membersSilent);
   list.gauge("configuration_version", "In force, 0 for none", snapshot.configurationVersion);
@@ -188,10 +188,10 @@
   addLedger(list, snapshot);
   addQuotas(list, snapshot);
   addRetention(list, snapshot);
-  addBeliefs(list, snapshot);
+  addClusterState(list, snapshot);
   addUnreadable(list, snapshot);
   list.counter("log_lines_left_out_total", "Lines over the allowed rate or without room",
-               snapshot.logLinesLeftOut);
+               snapshot.logLinesDropped);
   list.append(histograms_->registry.Collect());
   return list.render();
 }
--- a/src/edge/edge_settings.h
+++ b/src/edge/edge_settings.h
@@ -1,4 +1,4 @@
-/// \file Settings of an edge node as typed values, whatever file they came from.
+/// \file Settings of an edge node as typed values, independent of the file format.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace gorsetrail::edge {
 
-/// Where the node listens; every address is `ip:port`, empty when it does not serve that.
+/// Listen addresses, each `ip:port`; an empty one disables its service.
 struct ListenAddresses {
   std::string clients;
   std::string readiness;
@@ -20,7 +20,7 @@
   std::string metrics;
 };
 
-/// The shared store's address and its limits.
+/// Address and limits of the shared store.
 struct StoreSettings {
   std::string address;
   std::uint32_t partitionsPerTopic = 8;
@@ -29,20 +29,23 @@
   double readsPerSecond = 2000;  ///< Of all nodes together.
 };
 
-/// Times that the operators promise or demand.
+/// Time limits that the deployment promises or requires.
 struct TimeBounds {
-  Duration stopLimit = seconds(8);      ///< From the stop signal to the kill.
-  Duration drain = seconds(2);          ///< A leaving replica gets nothing new after this.
-  Duration configuration = seconds(2);  ///< A new configuration is in force after this.
-  double maximumAddressTtlSeconds = 5;  ///< How long clients keep an answer of the directory.
-  Duration evacuation = seconds(5);     ///< An evacuated zone's replicas get nothing after this.
-  /// A cold replica gets at most its bearable rate times this, and `coldSlack` requests, in any
-  /// second, from all nodes together.
+  Duration stopLimit = seconds(8);  ///< From the stop signal until the process is killed.
+  Duration drain = seconds(2);  ///< A draining replica receives no new requests after this time.
+  Duration configuration =
+      seconds(2);  ///< A new configuration is in force on all nodes within this time.
+  double maximumAddressTtlSeconds = 5;  ///< Longest time that clients cache a directory answer.
+  Duration evacuation =
+      seconds(5);  ///< Replicas of an evacuated zone receive no requests after this time.
+  /// In any second, all nodes together send a cold replica at most its sustainable rate times
+  /// `coldOvershoot`, plus `coldSlack` requests.
   double coldOvershoot = 1.5;
   double coldSlack = 5;
   Duration replicaHeartbeat = milliseconds(1200);  ///< Between two registrations of a replica.
 };
 
+/// All settings of one edge node.
 struct EdgeSettings {
   std::string nodeName;
   std::string ip;
@@ -50,12 +53,12 @@
   std::string region;
   std::vector<std::string> zones;  ///< All zones of the deployment.
   std::map<std::string, std::string, std::less<>> regionOfZone;
-  double processorShare = 1.0;  ///< Of a core.
+  double processorShare = 1.0;  ///< Fraction of one CPU core.
   double linkMegabitsPerSecond = 1000;
   ListenAddresses listen;
   std::uint16_t firstInternalPort = 0;
   std::uint16_t lastInternalPort = 0;
-  std::vector<std::string> seeds;  ///< Control addresses of some nodes; may be stale.
+  std::vector<std::string> seeds;  ///< Control addresses of some other nodes; may be outdated.
   StoreSettings store;
   TimeBounds bounds;
   std::uint64_t memoryBytes = std::uint64_t{256} * 1024 * 1024;
--- a/src/edge/file_watcher.cpp
+++ b/src/edge/file_watcher.cpp
@@ -22,17 +22,17 @@
                          std::function<void(const std::string&)> onChanged)
     : timers_(timers), path_(std::move(path)), period_(period), onChanged_(std::move(onChanged)) {}
 
-void FileWatcher::start(std::string seen) {
-  seen_ = std::move(seen);
+void FileWatcher::start(std::string lastContent) {
+  lastContent_ = std::move(lastContent);
   check();
   schedule();
 }
 
 void FileWatcher::check() {
   std::string content = contentOf(path_);
-  if (!content.empty() && content != seen_) {
-    seen_ = std::move(content);
-    onChanged_(seen_);
+  if (!content.empty() && content != lastContent_) {
+    lastContent_ = std::move(content);
+    onChanged_(lastContent_);
   }
 }
 
--- a/src/edge/file_watcher.h
+++ b/src/edge/file_watcher.h
@@ -1,4 +1,4 @@
-/// \file Tells when a file's content has changed; nobody has to send a signal.
+/// \file Detects changes of a file by polling.
 #pragma once
 
 #include <functional>
@@ -10,17 +10,19 @@
 
 namespace gorsetrail::edge {
 
-/// Compares the file's content with the last one seen, some times a minute: settings are small.
+/// Polls a small file and reports its new content when it differs from the last content seen.
 class FileWatcher : public std::enable_shared_from_this<FileWatcher> {
  public:
   /// \param timers outlives this object.
-  /// \param onChanged gets the new content.
+  /// \param onChanged receives the new content.
   FileWatcher(services::TimerService& timers, std::string path, Duration period,
               std::function<void(const std::string&)> onChanged);
 
-  /// Looks at once, so that a change made since `seen` was read is told, and begins to watch.
-  void start(std::string seen);
-  /// Looks now. An unreadable or empty file is being written: it is looked at again later.
+  /// Starts to poll, with a first check immediately, so that a change since `lastContent` was read
+  /// is reported.
+  void start(std::string lastContent);
+  /// Checks the file now. An unreadable or empty file is assumed to be in the middle of a write and
+  /// is checked again at the next poll.
   void check();
 
  private:
@@ -30,7 +32,7 @@
   std::string path_;
   Duration period_;
   std::function<void(const std::string&)> onChanged_;
-  std::string seen_;
+  std::string lastContent_;
 };
 
 }  // namespace gorsetrail::edge
--- a/src/edge/ledger_relay.h
+++ b/src/edge/ledger_relay.h
@@ -1,4 +1,4 @@
-/// \file Both ends of ledger calls between nodes, over HTTP on the internal port.
+/// \file Client and server of ledger calls between nodes, over HTTP on the internal port.
 #pragma once
 
 #include <functional>
@@ -13,13 +13,13 @@
 
 namespace gorsetrail::edge {
 
-/// Path of ledger calls; other paths of the internal port serve other calls.
+/// HTTP path of ledger calls on the internal port.
 inline constexpr char kLedgerPath[] = "/ledger-call";
 
-/// Path that only shows that the process runs.
+/// HTTP path of the liveness check on the internal port.
 inline constexpr char kAlivePath[] = "/alive";
 
-/// Answers other nodes' calls.
+/// Serves ledger calls and liveness checks of other nodes.
 class LedgerRelayServer {
  public:
   /// \param service outlives this object.
@@ -30,12 +30,12 @@
   ledger::LedgerService& service_;
 };
 
-/// Makes calls to other nodes.
+/// Sends ledger calls to other nodes.
 class HttpLedgerPeers final : public ledger::LedgerPeers {
  public:
-  /// The nodes that may be homes.
+  /// Returns the nodes that may host ledger partitions.
   using CandidatesFunction = std::function<std::vector<ledger::HomeCandidate>()>;
-  /// Whether the nodes have been listed once.
+  /// Returns whether the members have been listed at least once.
   using AreKnownFunction = std::function<bool()>;
 
   /// \param client outlives this object.
--- a/src/edge/load_exchange.cpp
+++ b/src/edge/load_exchange.cpp
@@ -10,13 +10,13 @@
 namespace gorsetrail::edge {
 namespace {
 
-constexpr std::uint32_t kMostInFlight = UINT16_MAX;
-constexpr double kSixteenths = 16.0;
+constexpr std::uint32_t kMaximumInFlight = UINT16_MAX;
+constexpr double kFixedPointScale = 16.0;
 /// Troubles that have faded below this are not told.
-constexpr double kSmallestTrouble = 0.2;
+constexpr double kMinimumFailureCount = 0.2;
 
-std::uint16_t sixteenthsOf(double count) {
-  return static_cast<std::uint16_t>(std::min(count * kSixteenths, double{UINT16_MAX}));
+std::uint16_t toFixedPoint(double count) {
+  return static_cast<std::uint16_t>(std::min(count * kFixedPointScale, double{UINT16_MAX}));
 }
 
 }  // namespace
@@ -30,8 +30,8 @@
   }
   std::vector<fbs::ReplicaTrouble> troubles;
   for (const routing::ReplicaTrouble& trouble : digest.troubles) {
-    troubles.emplace_back(trouble.replica, sixteenthsOf(trouble.failed),
-                          sixteenthsOf(trouble.ended));
+    troubles.emplace_back(trouble.replica, toFixedPoint(trouble.failed),
+                          toFixedPoint(trouble.ended));
   }
   const auto list = builder.CreateVectorOfStructs(loads);
   const auto troubleList = troubles.empty() ? 0 : builder.CreateVectorOfStructs(troubles);
@@ -59,8 +59,8 @@
   }
   if (read->troubles() != nullptr) {
     for (const fbs::ReplicaTrouble* const trouble : *read->troubles()) {
-      digest.troubles.push_back(
-          {trouble->replica(), trouble->failed() / kSixteenths, trouble->ended() / kSixteenths});
+      digest.troubles.push_back({trouble->replica(), trouble->failed() / kFixedPointScale,
+                                 trouble->ended() / kFixedPointScale});
     }
   }
   return digest;
@@ -85,7 +85,7 @@
   if (succeeded(digest)) {
     onDigest_(std::move(valueOf(digest)));
   } else {
-    ++unreadable_;
+    ++unreadableDigests_;
   }
 }
 
@@ -98,11 +98,11 @@
     const routing::ReplicaEntry& entry = replica->entry;
     const routing::ReplicaHash hash = routing::replicaHashOf(entry.id, entry.startedAt);
     if (replica->inFlight > 0) {
-      const auto count = static_cast<std::uint16_t>(std::min(replica->inFlight, kMostInFlight));
+      const auto count = static_cast<std::uint16_t>(std::min(replica->inFlight, kMaximumInFlight));
       digest.loads.push_back({hash, count});
     }
     const double failed = replica->outcomes.failed(now);
-    if (failed >= kSmallestTrouble) {
+    if (failed >= kMinimumFailureCount) {
       digest.troubles.push_back({hash, failed, replica->outcomes.ended(now)});
     }
   }
@@ -113,20 +113,20 @@
                         Instant now) {
   routing::LoadDigest digest = digestOf(replicas, now);
   std::string loads = encodeLoadDigest(digest);
-  if (loads == lastLoads_ && ++unchanged_ < knobs_.unchangedEvery) {
+  if (loads == lastLoads_ && ++unchangedSends_ < knobs_.sendsPerUnchangedDigest) {
     return;
   }
-  unchanged_ = 0;
+  unchangedSends_ = 0;
   lastLoads_ = std::move(loads);
-  digest.beat = ++beat_;
+  digest.beat = ++digestSequence_;
   const std::string datagram = encodeLoadDigest(digest);
-  sendToSome(peers.near, knobs_.maximumPeers, datagram);
-  sendToSome(peers.far, knobs_.maximumFarPeers, datagram);
+  sendToRandomPeers(peers.sameRegion, knobs_.maximumPeers, datagram);
+  sendToRandomPeers(peers.otherRegions, knobs_.maximumOtherRegionPeers, datagram);
 }
 
-void LoadExchange::sendToSome(std::vector<std::string> peers, std::size_t most,
-                              const std::string& datagram) {
-  const std::size_t count = std::min(peers.size(), most);
+void LoadExchange::sendToRandomPeers(std::vector<std::string> peers, std::size_t limit,
+                                     const std::string& datagram) {
+  const std::size_t count = std::min(peers.size(), limit);
   for (std::size_t index = 0; index < count; ++index) {
     // Draws without replacement: the chosen one changes places with the first not yet chosen.
     std::swap(peers[index], peers[index + random_.below(peers.size() - index)]);
--- a/src/edge/load_exchange.h
+++ b/src/edge/load_exchange.h
@@ -1,4 +1,4 @@
-/// \file Tells other nodes what this one has under way at replicas, by datagrams.
+/// \file Sends this node's in-flight requests at replicas to other nodes, by UDP.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,25 +19,25 @@
 /// Errors: `InvalidFrame`.
 Result<routing::LoadDigest> decodeLoadDigest(std::string_view bytes);
 
-/// Knobs of `LoadExchange`.
+/// Settings of `LoadExchange`.
 struct LoadExchangeKnobs {
-  /// Peers that get each digest, chosen at random: the cost of a node does not grow with the fleet.
+  /// Random peers of the same region that receive each digest; bounds a node's cost in large
+  /// fleets.
   std::size_t maximumPeers = 16;
-  /// Of other regions besides: they use this region's replicas seldom, and bytes between regions
-  /// are dear. Digests to 16 of all nodes were two fifths of these bytes on a day without faults
-  /// (three regions, 48 nodes that take clients).
-  std::size_t maximumFarPeers = 3;
-  /// An unchanged digest is sent every this many calls of `send`.
-  std::uint32_t unchangedEvery = 4;
+  /// Random peers of other regions that receive each digest. Fewer, because they rarely use this
+  /// region's replicas and traffic between regions is expensive.
+  std::size_t maximumOtherRegionPeers = 3;
+  /// While the digest is unchanged, only every n-th call of `send` sends it.
+  std::uint32_t sendsPerUnchangedDigest = 4;
 };
 
-/// Where digests arrive.
+/// Addresses of the peers that receive digests.
 struct LoadPeers {
-  std::vector<std::string> near;  ///< In this node's region.
-  std::vector<std::string> far;
+  std::vector<std::string> sameRegion;
+  std::vector<std::string> otherRegions;
 };
 
-/// One datagram socket. Lost digests are replaced by the next.
+/// Exchanges load digests with other nodes. A lost digest is superseded by the next one.
 class LoadExchange {
  public:
   using DigestObserver = std::function<void(routing::LoadDigest)>;
@@ -45,15 +45,17 @@
   LoadExchange(boost::asio::io_context& context, LoadExchangeKnobs knobs, std::uint64_t seed,
                routing::RegionHash region, DigestObserver onDigest);
 
-  /// \param address `ip:port` that digests arrive at. Errors: `InvalidSettings`.
+  /// Starts to receive digests.
+  /// \param address `ip:port`. Errors: `InvalidSettings`.
   Result<Success> listen(const std::string& address);
-  /// Sends the load of these replicas to some of the peers.
+  /// Sends this node's load at the replicas to random peers.
   void send(const std::vector<routing::ReplicaPtr>& replicas, const LoadPeers& peers, Instant now);
-  /// \return datagrams that were no digest; the next digest of the same node replaces them.
-  [[nodiscard]] std::uint64_t unreadable() const { return unreadable_; }
+  /// \return the number of received datagrams that could not be decoded.
+  [[nodiscard]] std::uint64_t unreadableDigests() const { return unreadableDigests_; }
 
  private:
-  void sendToSome(std::vector<std::string> peers, std::size_t most, const std::string& datagram);
+  void sendToRandomPeers(std::vector<std::string> peers, std::size_t limit,
+                         const std::string& datagram);
   void onDatagram(std::string_view bytes);
   routing::LoadDigest digestOf(const std::vector<routing::ReplicaPtr>& replicas, Instant now);
 
@@ -63,10 +65,10 @@
   routing::RegionHash region_;
   DigestObserver onDigest_;
   std::uint64_t node_ = 0;
-  std::uint64_t beat_ = 0;
+  std::uint64_t digestSequence_ = 0;
   std::string lastLoads_;
-  std::uint32_t unchanged_ = 0;
-  std::uint64_t unreadable_ = 0;
+  std::uint32_t unchangedSends_ = 0;
+  std::uint64_t unreadableDigests_ = 0;
 };
 
 }  // namespace gorsetrail::edge
--- a/src/edge/member_announcer.cpp
+++ b/src/edge/member_announcer.cpp
@@ -17,7 +17,7 @@
 bool MemberAnnouncer::announce(const std::string& ownAddress, const std::string& key,
                                const MemberRecord& record,
                                const std::vector<ledger::HomeCandidate>& candidates, bool urgent) {
-  if (underWay_ && !urgent) {
+  if (isAppendPending_ && !urgent) {
     return false;
   }
   std::string bytes = logstore::encodeKeyedRecord(key, encodeMemberRecord(record));
@@ -32,12 +32,12 @@
     append(std::move(bytes), knobs_.aggregationWindow);
     return true;
   }
-  underWay_ = true;
+  isAppendPending_ = true;
   logstore::AppendRequest request{partition_, {bytes}, knobs_.timeLimit};
   forward_(aggregator, std::move(request),
            [this, aggregator,
             bytes = std::move(bytes)](const logstore::StoreResult<logstore::AppendReply>& result) {
-             underWay_ = false;
+             isAppendPending_ = false;
              if (std::holds_alternative<logstore::StoreError>(result)) {
                aggregators_.suspect(aggregator, clock_());
                append(bytes, Duration::zero());
@@ -47,9 +47,10 @@
 }
 
 void MemberAnnouncer::append(std::string bytes, Duration window) {
-  underWay_ = true;
-  batcher_.append(std::move(bytes), window, knobs_.timeLimit,
-                  [this](const logstore::StoreResult<std::uint64_t>&) { underWay_ = false; });
+  isAppendPending_ = true;
+  batcher_.append(
+      std::move(bytes), window, knobs_.timeLimit,
+      [this](const logstore::StoreResult<std::uint64_t>&) { isAppendPending_ = false; });
 }
 
 void MemberAnnouncer::aggregate(logstore::AppendRequest request,
--- a/src/edge/member_announcer.h
+++ b/src/edge/member_announcer.h
@@ -1,4 +1,4 @@
-/// \file Tells other nodes of this one, through one node of the zone that aggregates announcements.
+/// \file Announces this node to the others through a node of the zone that batches announcements.
 #pragma once
 
 #include <cstdint>
@@ -14,35 +14,35 @@
 
 namespace gorsetrail::edge {
 
-/// Knobs of `MemberAnnouncer`.
+/// Settings of `MemberAnnouncer`.
 struct MemberAnnouncerKnobs {
-  /// How long a aggregator keeps announcements for others that share their append.
+  /// How long an aggregator delays an announcement to batch it with others into one append.
   Duration aggregationWindow = milliseconds(300);
-  Duration timeLimit = milliseconds(1500);
+  Duration timeLimit = milliseconds(1500);  ///< Of one announcement.
 };
 
-/// Announcements of all nodes go to one partition, which takes its appends in turn: hundreds of
-/// nodes that each appended for themselves would fill it when the store is slow or all start at
-/// once, and every try made again would fill it more. So one node of each zone aggregates them, and
-/// none is sent before the one before it has ended; the next heartbeat takes the place of a lost
-/// one.
+/// Writes this node's heartbeat records to the member topic. One node of each zone batches the
+/// records of the others, because hundreds of nodes that append individually would overload the
+/// topic's single partition when the store is slow or all nodes start together. No announcement is
+/// sent while the previous one is pending; the next heartbeat replaces a lost one.
 class MemberAnnouncer {
  public:
-  /// Sends an append to another node; calls back once with its result.
+  /// Sends an append to another node; calls back once with the result.
   using Forward = std::function<void(const std::string& address, logstore::AppendRequest request,
                                      logstore::StoreCallback<logstore::AppendReply> callback)>;
 
-  /// \param store makes single calls; all arguments outlive this object.
+  /// \param store makes single attempts.
+  /// All reference arguments outlive this object.
   MemberAnnouncer(logstore::LogStore& store, services::TimerService& timers,
                   logstore::ClockFunction clock, logstore::PartitionAddress partition,
                   Forward forward, MemberAnnouncerKnobs knobs);
 
-  /// \param candidates nodes of the zone that may aggregate; none: this node appends by itself.
-  /// \param urgent sent beside one that is under way, and by this node itself.
-  /// \return false when it was left out because an earlier one is still under way.
+  /// \param candidates nodes of the zone that may aggregate; if empty, this node appends directly.
+  /// \param urgent append directly, even while an earlier announcement is pending.
+  /// \return false if skipped because an earlier announcement is pending.
   bool announce(const std::string& ownAddress, const std::string& key, const MemberRecord& record,
                 const std::vector<ledger::HomeCandidate>& candidates, bool urgent);
-  /// Another node's announcement: aggregated with the own ones.
+  /// Batches another node's announcement with this node's own.
   void aggregate(logstore::AppendRequest request,
                  logstore::StoreCallback<logstore::AppendReply> callback);
 
@@ -55,7 +55,7 @@
   MemberAnnouncerKnobs knobs_;
   logstore::AppendBatcher batcher_;
   ledger::HomeSelector aggregators_{{}};
-  bool underWay_ = false;
+  bool isAppendPending_ = false;
 };
 
 }  // namespace gorsetrail::edge
--- a/src/edge/member_table.cpp
+++ b/src/edge/member_table.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Processors; far more than a machine has. Sums over the largest fleet stay exact.
-constexpr double kMostCapacity = 1e6;
+constexpr double kMaximumCapacity = 1e6;
 
 /// \return the field that no node writes like this; nothing when all are right. A capacity that is
 /// no number has no place in an order, and an address that is none would be handed to clients.
@@ -30,7 +30,7 @@
     return "relay_address";
   }
   // Also false for what is not a number.
-  const bool isCapacity = record.capacity >= 0 && record.capacity <= kMostCapacity;
+  const bool isCapacity = record.capacity >= 0 && record.capacity <= kMaximumCapacity;
   return isCapacity ? std::nullopt : std::optional<std::string_view>("capacity");
 }
 
@@ -70,7 +70,7 @@
   return record;
 }
 
-routing::Distance ClientPlace::distanceTo(std::string_view nodeZone) const {
+routing::Distance ClientLocation::distanceTo(std::string_view nodeZone) const {
   if (nodeZone == zone) {
     return routing::Distance::SameZone;
   }
@@ -81,7 +81,7 @@
                                              : routing::Distance::OtherRegion;
 }
 
-bool ClientPlace::allows(std::string_view nodeZone) const {
+bool ClientLocation::allows(std::string_view nodeZone) const {
   return allowedRegions == nullptr || distanceTo(nodeZone) != routing::Distance::OtherRegion ||
          (zones != nullptr && zones->isIn(nodeZone, *allowedRegions));
 }
@@ -101,8 +101,9 @@
 }
 
 bool MemberTable::isAlive(const std::string& key, const Entry& entry) const {
-  const auto silence = std::chrono::duration_cast<Duration>(heartbeat() * knobs_.silentHeartbeats);
-  return freshAt_ - entry.heardAt < silence && !isSilent_(key);
+  const auto timeout =
+      std::chrono::duration_cast<Duration>(heartbeat() * knobs_.deadAfterHeartbeats);
+  return lastReadAt_ - entry.lastRecordAt < timeout && !failsProbes_(key);
 }
 
 std::vector<std::string> MemberTable::relayAddresses() const {
@@ -134,10 +135,10 @@
   return ring;
 }
 
-std::vector<std::string> MemberTable::dropForgotten() {
+std::vector<std::string> MemberTable::removeExpired() {
   std::vector<std::string> forgotten;
   for (const auto& [key, entry] : members_) {
-    if (freshAt_ - entry.heardAt >= knobs_.forgetAfter) {
+    if (lastReadAt_ - entry.lastRecordAt >= knobs_.removeAfter) {
       forgotten.push_back(key);
     }
   }
@@ -160,14 +161,14 @@
   double kept = 0;
   std::size_t count = 0;
   while (count < members.size() &&
-         (count < knobs_.fewestNamed || kept < knobs_.namedShareOfCapacity * all)) {
+         (count < knobs_.minimumNamedNodes || kept < knobs_.minimumNamedCapacityShare * all)) {
     kept += members[count]->capacity;
     ++count;
   }
   members.resize(count);
 }
 
-MemberTable::Members MemberTable::nearest(const ClientPlace& client, const IsSuspect& isSuspect,
+MemberTable::Members MemberTable::nearest(const ClientLocation& client, const IsSuspect& isSuspect,
                                           bool suspects) const {
   std::map<routing::Distance, Members> byDistance;
   for (const auto& [key, entry] : members_) {
@@ -180,14 +181,14 @@
   Members named;
   for (const auto& [distance, members] : byDistance) {
     // Suspects are few, and most of them do not answer.
-    if (suspects || named.size() < knobs_.enoughInZone) {
+    if (suspects || named.size() < knobs_.minimumNearbyNodes) {
       named.insert(named.end(), members.begin(), members.end());
     }
   }
   return named;
 }
 
-std::vector<std::string> MemberTable::clientAddresses(const ClientPlace& client,
+std::vector<std::string> MemberTable::clientAddresses(const ClientLocation& client,
                                                       const IsSuspect& isSuspect) const {
   Members named = nearest(client, isSuspect, false);
   if (named.empty()) {
@@ -204,7 +205,7 @@
   return addresses;
 }
 
-std::vector<MemberRecord> MemberTable::servingIn(std::string_view zone) const {
+std::vector<MemberRecord> MemberTable::namedNodesIn(std::string_view zone) const {
   Members inZone;
   for (const auto& [key, entry] : members_) {
     if (isAlive(key, entry) && !entry.record.leaving && entry.record.zone == zone) {
@@ -219,7 +220,7 @@
   return serving;
 }
 
-std::size_t MemberTable::countIn(std::string_view zone) const {
+std::size_t MemberTable::countServingIn(std::string_view zone) const {
   std::size_t count = 0;
   for (const auto& [key, entry] : members_) {
     const bool serves = isAlive(key, entry) && !entry.record.leaving;
@@ -228,7 +229,7 @@
   return count;
 }
 
-std::vector<MemberRecord> MemberTable::alive() const {
+std::vector<MemberRecord> MemberTable::liveMembers() const {
   std::vector<MemberRecord> records;
   for (const auto& [key, entry] : members_) {
     if (isAlive(key, entry)) {
--- a/src/edge/member_table.h
+++ b/src/edge/member_table.h
@@ -1,4 +1,4 @@
-/// \file The edge nodes that this node knows of, and which of them clients are sent to.
+/// \file The known edge nodes, and which of them the directory names to clients.
 #pragma once
 
 #include <cstdint>
@@ -16,122 +16,126 @@
 
 namespace gorsetrail::edge {
 
-/// What a node says of itself.
+/// The record that a node announces about itself.
 struct MemberRecord {
   std::string nodeName;
   std::string zone;
-  std::string clientAddress;  ///< Where clients connect.
-  std::string relayAddress;   ///< Where other nodes ask for store calls; empty: nowhere.
+  std::string clientAddress;  ///< `ip:port` for client requests.
+  std::string relayAddress;   ///< `ip:port` for store and ledger calls of other nodes; empty: none.
   bool leaving = false;
-  std::uint64_t beat = 0;  ///< Rises with every record of one life.
-  double capacity = 1.0;   ///< How much of the work that nodes share it takes, against others.
+  std::uint64_t beat = 0;  ///< Sequence number within one process.
+  double capacity = 1.0;   ///< Relative weight when nodes share work.
 };
 
 std::string encodeMemberRecord(const MemberRecord& record);
 /// Errors: `InvalidFrame`.
 Result<MemberRecord> decodeMemberRecord(std::string_view bytes);
 
-/// Where a client is, and where the nodes may be that it is sent to.
-struct ClientPlace {
+/// A client's location, and the regions of the nodes that it may be sent to.
+struct ClientLocation {
   std::string_view zone;
   std::string_view region;
-  const routing::ZoneTable* zones = nullptr;  ///< Null: there is one region.
-  /// Besides the client's own region; null: anywhere.
+  const routing::ZoneTable* zones = nullptr;  ///< Null: there is a single region.
+  /// Allowed regions besides the client's own; null: any.
   const routing::RegionSet* allowedRegions = nullptr;
 
-  /// \return how far a node of this zone is from the client.
+  /// \return the distance between the client and a node of this zone.
   [[nodiscard]] routing::Distance distanceTo(std::string_view nodeZone) const;
   [[nodiscard]] bool allows(std::string_view nodeZone) const;
 };
 
-/// Knobs of `MemberTable`.
+/// Settings of `MemberTable`.
 struct MemberTableKnobs {
-  Duration heartbeat = seconds(1);  ///< Between two records of a node, in a small fleet.
-  /// The whole fleet writes at most this many records a second: heartbeats become rarer with it.
+  Duration heartbeat = seconds(1);  ///< Shortest interval between two records of a node.
+  /// Limit for the whole fleet; in large fleets heartbeats become less frequent to stay below it.
   double recordsPerSecond = 60;
-  double silentHeartbeats = 3.3;  ///< Without a record for so many, a node counts as dead.
-  /// A node without a record for so long is forgotten, so that its address costs nothing more. Far
-  /// longer than any outage of the store that nodes are expected to come back from.
-  Duration forgetAfter = seconds(600);
-  /// With fewer, nodes of the region's other zones are named too; with fewer in the region, all.
-  std::size_t enoughInZone = 2;
-  /// Clients of a zone are sent to its most capable nodes: to this many at least. Losing one of
-  /// eight moves an eighth of the zone's clients, and eight take twenty times the usual rate of the
-  /// largest deployment known.
-  std::size_t fewestNamed = 8;
-  /// And to nodes with this share of the zone's capacity at least, where nodes are alike.
-  double namedShareOfCapacity = 0.4;
+  double deadAfterHeartbeats =
+      3.3;  ///< A node counts as dead after this many heartbeats without a record.
+  /// A node without a record for this time is removed, so that it is no longer probed. Far longer
+  /// than any store outage that nodes are expected to recover from.
+  Duration removeAfter = seconds(600);
+  /// If fewer nodes of the client's zone serve, nodes of the region's other zones are named too; if
+  /// fewer of the region serve, nodes of all regions.
+  std::size_t minimumNearbyNodes = 2;
+  /// Minimum number of a zone's nodes named to clients, by descending capacity. Bounds the share of
+  /// clients that must reconnect when one node fails.
+  std::size_t minimumNamedNodes = 8;
+  /// Nodes are added until the named ones have at least this share of the zone's capacity.
+  double minimumNamedCapacityShare = 0.4;
   std::size_t maximumAddresses = 64;
 };
 
-/// The nodes that exist, as the store lists them, and which of them are alive: those whose records
-/// keep coming and which answer probes. Records become rarer as the fleet grows, so probes tell of
-/// a node's end first. Members do not expire while the store cannot be read, because missing
-/// records then say nothing about the nodes.
+/// The member list of the store with the liveness of each node. A node is alive while its records
+/// keep coming and the failure detector does not suspect it; probes detect a failure sooner,
+/// because heartbeats are less frequent in large fleets. Nodes do not expire while the store cannot
+/// be read, because then missing records do not show that a node is dead.
 class MemberTable {
  public:
-  /// Whether a node does not answer probes; asked by its key.
-  using IsSilent = std::function<bool(const std::string& key)>;
+  /// Returns whether the failure detector suspects the node with this key.
+  using FailsProbes = std::function<bool(const std::string& key)>;
 
-  explicit MemberTable(MemberTableKnobs knobs, IsSilent isSilent)
-      : knobs_(knobs), isSilent_(std::move(isSilent)) {}
+  explicit MemberTable(MemberTableKnobs knobs, FailsProbes isSilent)
+      : knobs_(knobs), failsProbes_(std::move(isSilent)) {}
 
-  /// \return whether the node was not known as serving before, or is no longer.
+  /// \return whether the record changes if the node serves.
   bool onRecord(const std::string& key, const MemberRecord& record, Instant now);
   void remove(const std::string& key) { members_.erase(key); }
-  /// \return nodes that are listed, silent and leaving ones included.
+  /// \return the number of listed nodes, including dead and leaving ones.
   [[nodiscard]] std::size_t size() const { return members_.size(); }
   /// \return the relay addresses of all listed nodes.
   [[nodiscard]] std::vector<std::string> relayAddresses() const;
-  /// \return all listed nodes by their client addresses. Those that clients of their zone are sent
-  /// to while everybody lives weigh 1, the others little: clients choose evenly among the first,
-  /// and come to the others where the first are gone.
+  /// \return all listed nodes by client address, weighted for rendezvous hashing: nodes named to
+  /// clients of their zone in normal operation weigh 1, the others little, so that they receive
+  /// clients only when the former are gone.
   [[nodiscard]] std::vector<routing::RingMember> ringMembers() const;
-  /// Forgets nodes that were silent for `forgetAfter`. \return their keys.
-  std::vector<std::string> dropForgotten();
-  /// Records could be read at this moment: who was silent until then counts as dead.
-  void onFresh(Instant now) { freshAt_ = now; }
+  /// Removes nodes without a record for `removeAfter`.
+  /// \return their keys.
+  std::vector<std::string> removeExpired();
+  /// The topic was read up to this time; nodes whose last record is too old by then are dead.
+  void onRecordsRead(Instant now) { lastReadAt_ = now; }
 
-  /// Whether a node was silent to this one a moment ago; asked by its relay address.
+  /// Returns whether recent calls to the node with this relay address failed.
   using IsSuspect = std::function<bool(const std::string& relayAddress)>;
-  /// \return nodes that serve clients, those of the zone alone when they are enough, then those of
-  /// the region. Suspects are named only when nobody else is left: their heartbeats tell of their
-  /// end seconds later.
-  /// Of a large zone only the most capable are named: each node that takes clients opens
-  /// connections to all replicas it uses, and a weak one is slow when many come back at once.
-  [[nodiscard]] std::vector<std::string> clientAddresses(const ClientPlace& client,
+  /// \return client addresses of serving nodes: those of the client's zone, with those of the
+  /// region and of other regions added while there are too few. Suspect nodes are returned only if
+  /// there is no other, because heartbeats report a failure seconds later. Only the most capable
+  /// nodes are returned, because each node that serves clients opens connections to all replicas it
+  /// uses, and a weak node is slow when many clients reconnect at once.
+  [[nodiscard]] std::vector<std::string> clientAddresses(const ClientLocation& client,
                                                          const IsSuspect& isSuspect) const;
   [[nodiscard]] std::vector<std::string> clientAddresses(std::string_view zone,
                                                          const IsSuspect& isSuspect) const {
-    return clientAddresses(ClientPlace{zone, {}}, isSuspect);
+    return clientAddresses(ClientLocation{zone, {}}, isSuspect);
   }
-  /// \return the nodes that clients of the zone are sent to when nobody is suspect, best first.
-  [[nodiscard]] std::vector<MemberRecord> servingIn(std::string_view zone) const;
-  /// \return serving nodes of a zone.
-  [[nodiscard]] std::size_t countIn(std::string_view zone) const;
-  /// \return the time between two records of a node in a fleet of this size.
+  /// \return the nodes named to clients of the zone if none is suspect, by descending capacity.
+  [[nodiscard]] std::vector<MemberRecord> namedNodesIn(std::string_view zone) const;
+  /// \return the number of the zone's serving nodes.
+  [[nodiscard]] std::size_t countServingIn(std::string_view zone) const;
+  /// \return the heartbeat interval for the current fleet size.
   [[nodiscard]] Duration heartbeat() const;
-  /// \return every node alive or leaving, by key.
-  [[nodiscard]] std::vector<MemberRecord> alive() const;
+  /// \return all live nodes, including leaving ones, ordered by key.
+  [[nodiscard]] std::vector<MemberRecord> liveMembers() const;
 
  private:
   struct Entry {
     MemberRecord record;
-    Instant heardAt;
+    Instant lastRecordAt;
   };
   [[nodiscard]] bool isAlive(const std::string& key, const Entry& entry) const;
   using Members = std::vector<const MemberRecord*>;
-  /// \return the serving nodes that are nearest to the client, and further ones while they are few;
-  /// of suspects all.
-  [[nodiscard]] Members nearest(const ClientPlace& client, const IsSuspect& isSuspect,
+  /// \return the serving nodes nearest to the client, with more distant ones added while there are
+  /// too few. \param suspects return only suspect nodes, at any distance, instead of only the
+  /// others.
+  [[nodiscard]] Members nearest(const ClientLocation& client, const IsSuspect& isSuspect,
                                 bool suspects) const;
-  /// Keeps the most capable ones, best first; all nodes choose the same.
+  /// Truncates to the most capable nodes, by descending capacity. Deterministic, so that all nodes
+  /// select the same.
   void keepMostCapable(Members& members) const;
 
   MemberTableKnobs knobs_;
-  IsSilent isSilent_;
+  FailsProbes failsProbes_;
   std::map<std::string, Entry> members_;
-  Instant freshAt_;
+  Instant lastReadAt_;
 };
 
 }  // namespace gorsetrail::edge
--- a/src/edge/peer_monitor.cpp
+++ b/src/edge/peer_monitor.cpp
@@ -25,7 +25,7 @@
   detector.probePeriod = knobs.probePeriod;
   detector.probeTimeout = knobs.probeTimeout;
   detector.suspicionTimeout = knobs.suspicionTimeout;
-  detector.isolationSilence = knobs.isolationSilence;
+  detector.isolationSilence = knobs.isolationTimeout;
   detector.answersUnknownNodes = true;
   return detector;
 }
@@ -75,14 +75,14 @@
   const std::optional<NodeId> node = nodeOf(ip);
   if (detector_ && node) {
     detector_->removeMember(*node);
-    silent_.erase(ip);
+    suspectedOrDead_.erase(ip);
   }
 }
 
 void PeerMonitor::tickLoop() {
   detector_->onTick(clock_());
-  carryOut();
-  timers_.runAfter(knobs_.tick, [this] { tickLoop(); });
+  executeCommands();
+  timers_.runAfter(knobs_.tickPeriod, [this] { tickLoop(); });
 }
 
 void PeerMonitor::onDatagram(const DatagramSocket::Endpoint& sender, std::string_view bytes) {
@@ -92,24 +92,25 @@
   }
   const NodeId from(sender.address().to_v4().to_uint());
   detector_->onMembershipMessage(from, valueOf(message), clock_());
-  carryOut();
+  executeCommands();
 }
 
-void PeerMonitor::carryOut() {
+void PeerMonitor::executeCommands() {
   for (const membership::MembershipCommand& command : detector_->takeCommands()) {
     if (const auto* const sending = std::get_if<membership::SendMembershipMessage>(&command)) {
       send(*sending);
     } else if (const auto* const changed = std::get_if<membership::MemberChanged>(&command)) {
-      onChanged(changed->update);
+      onMemberChanged(changed->update);
     }
   }
 }
 
-void PeerMonitor::onChanged(const membership::MemberUpdate& update) {
+void PeerMonitor::onMemberChanged(const membership::MemberUpdate& update) {
   const std::string ip = ipOf(update.node);
-  const bool isSilent = update.state == membership::MemberState::Suspected ||
-                        update.state == membership::MemberState::Dead;
-  const bool changed = isSilent ? silent_.insert(ip).second : silent_.erase(ip) > 0;
+  const bool isSuspectedOrDead = update.state == membership::MemberState::Suspected ||
+                                 update.state == membership::MemberState::Dead;
+  const bool changed =
+      isSuspectedOrDead ? suspectedOrDead_.insert(ip).second : suspectedOrDead_.erase(ip) > 0;
   // A suspect that is declared dead is worth a line too; a node that is met first is not.
   if (changed || update.state == membership::MemberState::Dead) {
     onStateChanged_(ip, update.state);
--- a/src/edge/peer_monitor.h
+++ b/src/edge/peer_monitor.h
@@ -1,4 +1,4 @@
-/// \file Which other edge nodes can be reached, by probes between the nodes.
+/// \file Failure detection between edge nodes by probes.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,50 +19,54 @@
 
 /// Settings of `PeerMonitor`.
 struct PeerMonitorKnobs {
-  /// How often a node probes another one, and so what the detector costs it. With a quarter of a
-  /// second a dead node is probed by somebody within 1.2 s in 99 of 100 cases, whatever the size.
+  /// Interval between two probes by one node; bounds the cost of the failure detector. Independent
+  /// of the fleet size, a dead node is probed within a few periods.
   Duration probePeriod = milliseconds(250);
-  /// Then two others probe for it. Thirty times the longest way there and back that is known (1.4
-  /// ms between zones), since a node with 0.12 of a core may take some tens of milliseconds to
-  /// answer.
+  /// Without an answer within this time, two other nodes probe on this node's behalf. Far longer
+  /// than a round trip, because a node with a small share of a core may take tens of milliseconds
+  /// to answer.
   Duration probeTimeout = milliseconds(100);
-  /// A suspect that does not refute within this is dead. A rule of thumb: as long as news took to
-  /// reach 400 nodes in virtual time (note 0005), so that the suspect hears of it and can answer.
+  /// A suspect that does not refute the suspicion within this time is declared dead. Long enough
+  /// for the suspicion to reach it and for its refutation to return.
   Duration suspicionTimeout = milliseconds(600);
-  Duration isolationSilence = milliseconds(600);  ///< As long as a suspicion lasts.
-  /// Timers of the detector are looked at so often; a fifth of the probe period.
-  Duration tick = milliseconds(50);
+  Duration isolationTimeout = milliseconds(
+      600);  ///< Without any message for this time, the node assumes that it is cut off itself.
+  /// Interval at which the detector's timers are checked.
+  Duration tickPeriod = milliseconds(50);
 };
 
-/// Runs the failure detector of `src/membership` over datagrams. Nodes are named by their IPv4
-/// address; all of a fleet listen at the same port. The store's member list says who exists; this
-/// says who answers, at a cost that does not depend on the size of the fleet.
+/// Runs the SWIM failure detector of `src/membership` over UDP. Nodes are identified by their IPv4
+/// address; all nodes of a fleet use the same port. The store's member list defines which nodes
+/// exist, the detector which of them respond, at a cost per node that does not depend on the fleet
+/// size.
 class PeerMonitor {
  public:
-  /// Told when a node becomes silent (`Suspected`, then `Dead`) and when it answers again.
+  /// Called when a node becomes `Suspected`, when it becomes `Dead`, and when it is alive again.
   using StateObserver = std::function<void(const std::string& ip, membership::MemberState state)>;
 
-  /// \param incarnation higher than those of earlier processes of this node, as far as is known.
+  /// \param incarnation should be higher than those of earlier processes of this node.
   /// \param timers outlives this object.
   PeerMonitor(boost::asio::io_context& context, services::TimerService& timers,
               logstore::ClockFunction clock, Incarnation incarnation, PeerMonitorKnobs knobs,
               std::uint64_t seed, StateObserver onStateChanged);
 
-  /// Begins to probe and to answer. Errors: `InvalidSettings`.
+  /// Starts to probe and to answer probes. Errors: `InvalidSettings`.
   Result<Success> listen(const std::string& ip, std::uint16_t port);
-  /// Probes this node from now on.
+  /// Adds a node to the probed ones.
   void watch(const std::string& ip);
-  /// The node has left the member list.
+  /// Stops to probe a node that has left the member list.
   void forget(const std::string& ip);
-  /// \return whether the node did not answer its last probes, as far as the nodes told each other.
-  [[nodiscard]] bool isSilent(const std::string& ip) const { return silent_.contains(ip); }
-  [[nodiscard]] std::size_t silentNodes() const { return silent_.size(); }
+  /// \return whether the detector currently holds the node for suspected or dead.
+  [[nodiscard]] bool isSuspectedOrDead(const std::string& ip) const {
+    return suspectedOrDead_.contains(ip);
+  }
+  [[nodiscard]] std::size_t suspectedOrDeadNodes() const { return suspectedOrDead_.size(); }
 
  private:
   void tickLoop();
   void onDatagram(const DatagramSocket::Endpoint& sender, std::string_view bytes);
-  void carryOut();
-  void onChanged(const membership::MemberUpdate& update);
+  void executeCommands();
+  void onMemberChanged(const membership::MemberUpdate& update);
   void send(const membership::SendMembershipMessage& command);
 
   services::TimerService& timers_;
@@ -73,8 +77,8 @@
   StateObserver onStateChanged_;
   DatagramSocket socket_;
   std::uint16_t port_ = 0;
-  membership::MembershipServicePtr detector_;  ///< Null before `listen`: nobody is silent.
-  std::set<std::string, std::less<>> silent_;  ///< Addresses of nodes that do not answer.
+  membership::MembershipServicePtr detector_;  ///< Null before `listen`; then no node is suspected.
+  std::set<std::string, std::less<>> suspectedOrDead_;  ///< Addresses of suspected and dead nodes.
 };
 
 }  // namespace gorsetrail::edge
--- a/src/edge/quota_exchange.cpp
+++ b/src/edge/quota_exchange.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 /// Between two looks at what is due without waiting requests; a third of a lend round.
-constexpr Duration kTick = milliseconds(50);
+constexpr Duration kTickPeriod = milliseconds(50);
 /// While requests wait for tokens; a fifth of the time limit of a reply.
-constexpr Duration kWaitingTick = milliseconds(10);
+constexpr Duration kWaitingTickPeriod = milliseconds(10);
 /// Coordinators change with a node's end or start, which probes tell a second later; choosing among
 /// all members for each request would cost more than asking.
-constexpr Duration kCoordinatorsRefresh = milliseconds(50);
+constexpr Duration kCoordinatorsCacheTime = milliseconds(50);
 /// Names the partitions in the rendezvous hash.
 constexpr char kQuotaTopic[] = "quota";
 
@@ -19,11 +19,11 @@
 
 QuotaExchange::QuotaExchange(boost::asio::io_context& context, services::TimerService& timers,
                              std::function<Instant()> clock, QuotaSources sources,
-                             std::uint64_t life)
+                             std::uint64_t incarnation)
     : timers_(timers),
       clock_(std::move(clock)),
       sources_(std::move(sources)),
-      life_(life),
+      incarnation_(incarnation),
       socket_(context, [this](const DatagramSocket::Endpoint& sender, std::string_view bytes) {
         auto message = quota::decodeQuotaMessage(bytes);
         if (succeeded(message)) {
@@ -36,7 +36,7 @@
 Result<Success> QuotaExchange::listen(const std::string& ip, std::uint16_t port) {
   portSuffix_ = ":" + std::to_string(port);
   service_ = std::make_unique<quota::QuotaService>(*this, quota::QuotaKnobs{}, ip + portSuffix_,
-                                                   life_, clock_);
+                                                   incarnation_, clock_);
   auto listening = socket_.listen(ip + portSuffix_);
   if (succeeded(listening)) {
     tickLoop();
@@ -46,13 +46,13 @@
 
 void QuotaExchange::tickLoop() {
   service_->onTick();
-  timers_.runAfter(kTick, [this] { tickLoop(); });
+  timers_.runAfter(kTickPeriod, [this] { tickLoop(); });
 }
 
 void QuotaExchange::waitingLoop() {
-  looksAfterWaiting_ = service_->hasWaiting();
-  if (looksAfterWaiting_) {
-    timers_.runAfter(kWaitingTick, [this] {
+  isWaitingLoopRunning_ = service_->hasWaiting();
+  if (isWaitingLoopRunning_) {
+    timers_.runAfter(kWaitingTickPeriod, [this] {
       service_->onTick();
       waitingLoop();
     });
@@ -67,7 +67,7 @@
     return;
   }
   service_->admit(tenant, stage, std::move(callback));
-  if (!looksAfterWaiting_) {
+  if (!isWaitingLoopRunning_) {
     waitingLoop();
   }
 }
@@ -95,7 +95,7 @@
 std::vector<std::string> QuotaExchange::coordinatorsOf(std::uint32_t partition) const {
   const Instant now = clock_();
   Coordinators& known = coordinators_[partition];
-  if (known.chosenAt != Instant{} && now - known.chosenAt < kCoordinatorsRefresh) {
+  if (known.chosenAt != Instant{} && now - known.chosenAt < kCoordinatorsCacheTime) {
     return known.addresses;
   }
   known.chosenAt = now;
--- a/src/edge/quota_exchange.h
+++ b/src/edge/quota_exchange.h
@@ -1,4 +1,4 @@
-/// \file Quota messages between edge nodes, by datagrams.
+/// \file Quota messages between edge nodes, by UDP.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,34 +17,37 @@
 
 namespace gorsetrail::edge {
 
-/// What `QuotaExchange` asks of the daemon.
+/// Callbacks of `QuotaExchange` into the daemon.
 struct QuotaSources {
-  /// Nodes that may coordinate, with the addresses of their ledger calls.
+  /// Nodes eligible as coordinators, with their relay addresses.
   std::function<const std::vector<ledger::HomeCandidate>&()> candidates;
-  /// Nodes of the member list, silent ones included, with the addresses of their ledger calls.
+  /// Relay addresses of all listed members, including dead ones.
   std::function<std::vector<std::string>()> members;
-  /// How many nodes the member list has; 0 before it was read.
+  /// Number of listed members; 0 before the first listing.
   std::function<std::size_t()> memberCount;
   std::function<std::shared_ptr<const tenant::TenantDirectory>()> tenants;
-  /// Told when another node than before decides for a partition.
+  /// Called when a partition's coordinator has changed.
   std::function<void(std::uint32_t partition, const std::string& address)> onCoordinatorChanged;
 };
 
-/// Carries the messages of `quota::QuotaService`, one datagram each, and gives it its ticks.
-/// Coordinators are chosen like the ledger's, by rendezvous hashing over the serving nodes.
+/// Transports the messages of `quota::QuotaService`, one per datagram, and drives its timers.
+/// Coordinators are chosen by rendezvous hashing over the serving nodes, like the hosts of ledger
+/// partitions.
 class QuotaExchange final : public quota::QuotaFleet, public quota::QuotaAdmission {
  public:
-  /// \param timers outlives this object. \param life differs between processes.
+  /// \param timers outlives this object.
+  /// \param incarnation unique for each process.
   QuotaExchange(boost::asio::io_context& context, services::TimerService& timers,
-                std::function<Instant()> clock, QuotaSources sources, std::uint64_t life);
+                std::function<Instant()> clock, QuotaSources sources, std::uint64_t incarnation);
 
-  /// Listens and begins to lend this node's share. Errors: `InvalidSettings`.
-  /// \param port alike on all nodes.
+  /// Starts to exchange quota messages. Errors: `InvalidSettings`.
+  /// \param port the same on all nodes.
   Result<Success> listen(const std::string& ip, std::uint16_t port);
 
   void admit(const tenant::Tenant& tenant, quota::ProgramStage stage, Callback callback) override;
   void giveBack(const std::string& tenant) override;
-  /// Before a planned stop: other nodes take over what this one coordinates.
+  /// Called at a planned stop, so that other nodes take over the partitions that this node
+  /// coordinates.
   void endCoordination();
   [[nodiscard]] quota::QuotaCounters counters() const;
 
@@ -67,13 +70,14 @@
   services::TimerService& timers_;
   std::function<Instant()> clock_;
   QuotaSources sources_;
-  std::uint64_t life_;
+  std::uint64_t incarnation_;
   DatagramSocket socket_;
   std::string portSuffix_;
   ledger::HomeSelector selector_{{}};
-  mutable std::map<std::uint32_t, Coordinators> coordinators_;  ///< As of `chosenAt`.
-  std::unique_ptr<quota::QuotaService> service_;                ///< Null before `listen`.
-  bool looksAfterWaiting_ = false;
+  mutable std::map<std::uint32_t, Coordinators>
+      coordinators_;                              ///< Cached for each partition at `chosenAt`.
+  std::unique_ptr<quota::QuotaService> service_;  ///< Null before `listen`.
+  bool isWaitingLoopRunning_ = false;
 };
 
 }  // namespace gorsetrail::edge
--- a/src/edge/reader_election.cpp
+++ b/src/edge/reader_election.cpp
@@ -14,7 +14,7 @@
       capacity_(capacity),
       knobs_(knobs),
       random_(XXH64(ownAddress_.data(), ownAddress_.size(), seed)),
-      patience_(knobs.patience) {}
+      noAnswerTimeout_(knobs.noAnswerTimeout) {}
 
 bool ReaderElection::isSuspect(const std::string& address, Instant now) const {
   const auto found = suspectUntil_.find(address);
@@ -22,39 +22,39 @@
 }
 
 Duration ReaderElection::claimDelay() {
-  const double weakness = knobs_.middleCapacity / (knobs_.middleCapacity + capacity_);
-  const double delay = weakness * static_cast<double>(knobs_.weakNodeDelay.count()) +
-                       random_.fraction() * static_cast<double>(knobs_.spread.count());
+  const double weakness = knobs_.halfDelayCapacity / (knobs_.halfDelayCapacity + capacity_);
+  const double delay = weakness * static_cast<double>(knobs_.lowCapacityDelay.count()) +
+                       random_.fraction() * static_cast<double>(knobs_.claimSpread.count());
   return Duration(static_cast<Duration::rep>(delay));
 }
 
 void ReaderElection::onListed(const std::string& address, Instant now) {
-  isSearching_ = false;
+  needsListing_ = false;
   isReader_ = address == ownAddress_;
   if (reader_ != address) {
-    unansweredAt_.reset();
+    noAnswerSince_.reset();
   }
   reader_ = address;
   reviewAt_ = now + knobs_.reviewPeriod;
   if (!reader_.empty() && !isSuspect(reader_, now)) {
     claimAt_.reset();
-    isListedForClaim_ = false;
+    isRelistedBeforeClaim_ = false;
     return;
   }
   if (!claimAt_) {
     claimAt_ = now + claimDelay();
-    isListedForClaim_ = false;
+    isRelistedBeforeClaim_ = false;
   } else {
-    isListedForClaim_ = now >= *claimAt_;
+    isRelistedBeforeClaim_ = now >= *claimAt_;
   }
 }
 
 void ReaderElection::onClaimed(Instant now) {
   isReader_ = true;
-  isSearching_ = false;
+  needsListing_ = false;
   reader_ = ownAddress_;
   claimAt_.reset();
-  isListedForClaim_ = false;
+  isRelistedBeforeClaim_ = false;
   reviewAt_ = now + knobs_.reviewPeriod;
 }
 
@@ -64,8 +64,8 @@
 
 void ReaderElection::onAnswered(const std::string& address) {
   if (address == reader_) {
-    unansweredAt_.reset();
-    patience_ = knobs_.patience;
+    noAnswerSince_.reset();
+    noAnswerTimeout_ = knobs_.noAnswerTimeout;
   }
 }
 
@@ -76,21 +76,21 @@
   if (address != reader_ || isReader_) {
     return;
   }
-  if (!unansweredAt_) {
-    unansweredAt_ = now;
+  if (!noAnswerSince_) {
+    noAnswerSince_ = now;
   }
-  if (now - *unansweredAt_ < patience_) {
+  if (now - *noAnswerSince_ < noAnswerTimeout_) {
     return;
   }
-  unansweredAt_.reset();
-  patience_ = std::min(patience_ * 2, knobs_.longestPatience);
+  noAnswerSince_.reset();
+  noAnswerTimeout_ = std::min(noAnswerTimeout_ * 2, knobs_.maximumNoAnswerTimeout);
   onUnreachable(address, now);
   onNoReader(now);
 }
 
 void ReaderElection::onNoReader(Instant /*now*/) {
   if (!isReader_ && !claimAt_) {
-    isSearching_ = true;
+    needsListing_ = true;
   }
 }
 
@@ -99,13 +99,13 @@
 }
 
 ReaderElection::Step ReaderElection::next(Instant now) const {
-  if (isSearching_ || (isReader_ && now >= reviewAt_)) {
+  if (needsListing_ || (isReader_ && now >= reviewAt_)) {
     return Step::List;
   }
   if (!claimAt_ || now < *claimAt_) {
     return Step::None;
   }
-  return isListedForClaim_ ? Step::Claim : Step::List;
+  return isRelistedBeforeClaim_ ? Step::Claim : Step::List;
 }
 
 }  // namespace gorsetrail::edge
--- a/src/edge/reader_election.h
+++ b/src/edge/reader_election.h
@@ -1,4 +1,5 @@
-/// \file Which node of a zone reads the followed topics before the members are known. No I/O.
+/// \file Elects the node of a zone that reads the followed topics while the members are unknown. No
+/// I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,63 +12,61 @@
 
 namespace gorsetrail::edge {
 
-/// Knobs of `ReaderElection`.
+/// Settings of `ReaderElection`.
 struct ReaderElectionKnobs {
-  /// Claims of one zone are spread over this time. A node looks for an earlier claim some 20 ms
-  /// before its own stands, so that of 60 capable nodes about two claim.
-  Duration spread = milliseconds(500);
-  /// Nodes without capacity claim so much later: one with a narrow link or a small share of a core
-  /// serves a zone of 160 nodes ten times slower.
-  Duration weakNodeDelay = milliseconds(1000);
-  /// A node of this capacity waits half of `weakNodeDelay`. It lies between the capacities of the
-  /// narrow and the wide machines known: 0.004 to 0.02, and 0.25 to 0.5.
-  double middleCapacity = 0.05;
-  /// A claim that was not reached is passed over for so long, so that a reader that restarts or was
-  /// cut off for a moment is asked again.
+  /// Random part of the claim delay. Each node lists the claims before it writes its own, so a wide
+  /// spread keeps the number of concurrent claims small.
+  Duration claimSpread = milliseconds(500);
+  /// Additional claim delay of a node with zero capacity, so that nodes with narrow links or little
+  /// CPU claim only if no better node does.
+  Duration lowCapacityDelay = milliseconds(1000);
+  /// A node of this capacity has half of `lowCapacityDelay`. Separates machines with narrow links
+  /// from those with wide ones.
+  double halfDelayCapacity = 0.05;
+  /// A claimed reader that was unreachable is ignored for this time, then tried again.
   Duration suspicionTime = milliseconds(3000);
-  /// A reader looks after this time whether a later claim has taken its place.
+  /// Interval at which a reader checks if a later claim has replaced its own.
   Duration reviewPeriod = milliseconds(3000);
-  /// A reader that lives and cannot answer for so long is passed over like one that is not reached.
-  /// A listing at the start of a large fleet takes less. Doubles with each reader that is passed
-  /// over, up to `longestPatience`: a store that is slow for all would have each of them begin
-  /// anew.
-  Duration patience = milliseconds(5000);
-  Duration longestPatience = milliseconds(40000);
+  /// A reader that is reachable but cannot answer for this time is treated as unreachable. Long
+  /// enough for the listing at the start of a large fleet. Doubles each time a reader is replaced,
+  /// up to `maximumNoAnswerTimeout`, so that a slow store does not make one reader after the other
+  /// start its listing again.
+  Duration noAnswerTimeout = milliseconds(5000);
+  Duration maximumNoAnswerTimeout = milliseconds(40000);
 };
 
-/// When all nodes of a fleet start at once, nobody knows any member, and each node that read the
-/// topics for itself would read as much as the whole fleet writes: n nodes before m replicas that
-/// write r bytes a second take n * m * r from the store, which 1,000 nodes exceed twelve times at
-/// 80 MB/s. So the first capable nodes of each zone claim to read for it, in one small topic with a
-/// key a zone, and all others ask them. A claim decides nothing: two readers of a zone cost reads,
-/// and the last claim counts.
+/// Limits the reads from the store while the members are unknown, for example when all nodes of a
+/// fleet start together. The most capable nodes of each zone claim to be its topic reader, in a
+/// small topic with one key per zone; all others read through the claimed reader. A claim is no
+/// lock: two readers in one zone only cost extra reads, and the last claim counts.
 class ReaderElection {
  public:
-  /// What to do next.
+  /// The next action of the caller.
   enum class Step : std::uint8_t {
-    None,   ///< Nothing for now.
+    None,   ///< Nothing to do now.
     List,   ///< List the claims.
-    Claim,  ///< Write the own claim.
+    Claim,  ///< Write this node's claim.
   };
 
   ReaderElection(std::string ownAddress, double capacity, ReaderElectionKnobs knobs,
                  std::uint64_t seed);
 
-  /// The claims were listed. \param address of the zone's reader; empty: nobody claims.
+  /// Called when the claims have been listed.
+  /// \param address the claimed reader of the zone; empty: none.
   void onListed(const std::string& address, Instant now);
-  /// The own claim stands.
+  /// Called when this node's claim has been written.
   void onClaimed(Instant now);
-  /// No answer came from this node.
+  /// Called when a reader could not be reached.
   void onUnreachable(const std::string& address, Instant now);
-  /// This node answered a question about the followed topics.
+  /// Called when a reader has answered from its copy of the topics.
   void onAnswered(const std::string& address);
-  /// This node lives, and could not answer: it has not listed the topics itself, or the store is
-  /// busy.
+  /// Called when a reader was reached but could not answer, because it has not listed the topics or
+  /// the store is busy.
   void onNoAnswer(const std::string& address, Instant now);
-  /// No known reader answered: the claims are listed again.
+  /// Called when no known reader could be reached; the claims are listed again.
   void onNoReader(Instant now);
 
-  /// \return the zone's reader by its claim; empty when none is known or it was not reached.
+  /// \return the zone's claimed reader; empty if there is none or it was unreachable.
   [[nodiscard]] std::string reader(Instant now) const;
   [[nodiscard]] bool isReader() const { return isReader_; }
   [[nodiscard]] Step next(Instant now) const;
@@ -82,12 +81,15 @@
   RandomSource random_;
   std::string reader_;
   bool isReader_ = false;
-  bool isSearching_ = true;        ///< The claims were not listed since a reader was missed.
-  bool isListedForClaim_ = false;  ///< And again after the own delay.
+  bool needsListing_ =
+      true;  ///< The claims must be listed, because no reader is known or reachable.
+  bool isRelistedBeforeClaim_ =
+      false;  ///< The claims were listed again after the claim delay had passed.
   std::optional<Instant> claimAt_;
   Instant reviewAt_;
-  Duration patience_;                    ///< See `ReaderElectionKnobs::patience`.
-  std::optional<Instant> unansweredAt_;  ///< Since then the reader lives and has no answer.
+  Duration noAnswerTimeout_;  ///< See `ReaderElectionKnobs::noAnswerTimeout`.
+  std::optional<Instant>
+      noAnswerSince_;  ///< Time since which the reader is reachable without an answer.
   std::map<std::string, Instant> suspectUntil_;
 };
 
--- a/src/edge/shared_topic_store.cpp
+++ b/src/edge/shared_topic_store.cpp
@@ -7,7 +7,7 @@
 namespace gorsetrail::edge {
 namespace {
 
-logstore::ReadRequest askedOfReader(logstore::ReadRequest request, Duration timeLimit) {
+logstore::ReadRequest toReaderRequest(logstore::ReadRequest request, Duration timeLimit) {
   request.timeLimit = timeLimit;
   request.wait = Duration::zero();
   request.changesOnly = true;
@@ -15,7 +15,7 @@
 }
 
 /// The reader may have to send the same page to a whole zone at once: the caller's limit holds.
-logstore::NewestRequest askedOfReader(logstore::NewestRequest request, Duration /*timeLimit*/) {
+logstore::NewestRequest toReaderRequest(logstore::NewestRequest request, Duration /*timeLimit*/) {
   return request;
 }
 
@@ -33,8 +33,8 @@
       clock_(std::move(clock)),
       knobs_(knobs) {}
 
-void SharedTopicStore::share(const logstore::PartitionAddress& partition,
-                             logstore::TopicGateway& gateway) {
+void SharedTopicStore::routeThroughReader(const logstore::PartitionAddress& partition,
+                                          logstore::TopicGateway& gateway) {
   gateways_[partition] = &gateway;
 }
 
@@ -65,7 +65,7 @@
   Request request;
   logstore::StoreCallback<Reply> callback;
   std::vector<std::string> readers;  ///< In the order they are asked.
-  std::size_t asked = 0;
+  std::size_t nextReader = 0;
   /// What a reader said that lives and has no answer.
   std::optional<logstore::StoreError> readerError;
 };
@@ -103,7 +103,7 @@
       readers.push_back(address);
     }
   };
-  add(provenReaders_[partition]);
+  add(lastGoodReaders_[partition]);
   for (const std::string& home :
        readers_.homesOf(partition, zone_, sources_.candidates(), clock_())) {
     add(home);
@@ -112,15 +112,15 @@
   return readers;
 }
 
-bool SharedTopicStore::storeBearsAll(const logstore::PartitionAddress& partition) const {
+bool SharedTopicStore::canAllReadDirectly(const logstore::PartitionAddress& partition) const {
   const std::size_t members = sources_.members();
   const std::size_t keys = gatewayOf(partition)->copy().keys();
-  return members > 0 && members * std::max<std::size_t>(keys, 1) <= knobs_.mostMembersTimesKeys;
+  return members > 0 && members * std::max<std::size_t>(keys, 1) <= knobs_.maximumMembersTimesKeys;
 }
 
 template <class Request, class Reply>
 void SharedTopicStore::askNext(const std::shared_ptr<Call<Request, Reply>>& call) {
-  if (call->asked == call->readers.size()) {
+  if (call->nextReader == call->readers.size()) {
     if (call->readerError) {
       // The claimed reader is gone, and who was asked in its place has not listed the topic.
       const bool isUnlisted = call->readerError->fault == logstore::StoreFault::Busy;
@@ -131,7 +131,7 @@
       return;
     }
     sources_.onNoReader();
-    if (storeBearsAll(call->request.partition)) {
+    if (canAllReadDirectly(call->request.partition)) {
       callDirect(std::move(call->request), std::move(call->callback));
       return;
     }
@@ -139,19 +139,19 @@
                                         "no reader of this zone is reached", 0});
     return;
   }
-  const std::string reader = call->readers[call->asked];
-  ++call->asked;
+  const std::string reader = call->readers[call->nextReader];
+  ++call->nextReader;
   if (reader == ownAddress_) {
-    askOwn(call);
+    askSelf(call);
     return;
   }
-  relay_.callThrough(reader, askedOfReader(call->request, knobs_.timeLimit),
+  relay_.callThrough(reader, toReaderRequest(call->request, knobs_.timeLimit),
                      [this, call, reader](std::optional<logstore::StoreResult<Reply>> reply) {
                        onReply(call, reader, std::move(reply));
                      });
 }
 
-void SharedTopicStore::askOwn(const std::shared_ptr<ReadCall>& call) {
+void SharedTopicStore::askSelf(const std::shared_ptr<ReadCall>& call) {
   gatewayOf(call->request.partition)
       ->read(call->request, [this, call](logstore::StoreResult<logstore::ReadReply> result) {
         onReply(call, ownAddress_, std::optional(std::move(result)));
@@ -159,7 +159,7 @@
 }
 
 // A reader's copy comes from this very listing: it goes to the store, for all others of the zone.
-void SharedTopicStore::askOwn(const std::shared_ptr<ListingCall>& call) {
+void SharedTopicStore::askSelf(const std::shared_ptr<ListingCall>& call) {
   callDirect(std::move(call->request), std::move(call->callback));
 }
 
@@ -169,7 +169,7 @@
                                std::optional<logstore::StoreResult<Reply>> reply) {
   if (!reply) {
     readers_.suspect(reader, clock_());
-    provenReaders_.erase(call->request.partition);
+    lastGoodReaders_.erase(call->request.partition);
     sources_.onUnreachable(reader);
     askNext(call);
     return;
@@ -178,14 +178,14 @@
   if (error == nullptr || error->fault == logstore::StoreFault::Compacted) {
     // A reader whose claim another one took over stops reading for itself.
     if (reader != ownAddress_) {
-      provenReaders_[call->request.partition] = reader;
+      lastGoodReaders_[call->request.partition] = reader;
     }
     sources_.onAnswered(reader);
     call->callback(std::move(*reply));
     return;
   }
-  if (provenReaders_[call->request.partition] == reader) {
-    provenReaders_.erase(call->request.partition);
+  if (lastGoodReaders_[call->request.partition] == reader) {
+    lastGoodReaders_.erase(call->request.partition);
   }
   if (error->fault == logstore::StoreFault::Busy) {
     sources_.onNoAnswer(reader);
--- a/src/edge/shared_topic_store.h
+++ b/src/edge/shared_topic_store.h
@@ -1,4 +1,4 @@
-/// \file Reads of followed topics by way of one node of the zone.
+/// \file Reads followed topics through one node of the zone.
 #pragma once
 
 #include <functional>
@@ -15,41 +15,41 @@
 
 namespace gorsetrail::edge {
 
-/// Knobs of `SharedTopicStore`.
+/// Settings of `SharedTopicStore`.
 struct SharedTopicStoreKnobs {
   Duration timeLimit = milliseconds(900);  ///< Of a read through another node.
-  /// Without any reader a node reads the store itself where all nodes together could: members times
-  /// keys, each written some once a second with 200 B, so 50,000 are 10 MB/s, an eighth of what a
-  /// store sends. Such fleets need not wait a second and more for the next reader's claim.
-  std::size_t mostMembersTimesKeys = 50000;
+  /// If no reader is reachable and members times keys is at most this, nodes read the store
+  /// directly. The store's bandwidth allows this for small fleets, which then do not have to wait
+  /// for another reader's claim.
+  std::size_t maximumMembersTimesKeys = 50000;
 };
 
-/// What `SharedTopicStore` knows of the zone's readers.
+/// Callbacks of `SharedTopicStore` to find readers and to report on them.
 struct TopicReaderSources {
-  /// Members that may read for the zone.
+  /// Members eligible as topic readers of this zone.
   std::function<std::vector<ledger::HomeCandidate>()> candidates;
-  /// The reader that claims the zone, see `ReaderElection`; empty: none.
+  /// The zone's claimed reader, see `ReaderElection`; empty: none.
   std::function<std::string()> claimedReader;
-  /// Whether this node is the claimed reader.
+  /// Returns whether this node is the claimed reader.
   std::function<bool()> isClaimedReader;
-  /// A reader was not reached.
+  /// Called when a reader could not be reached.
   std::function<void(const std::string& address)> onUnreachable;
-  /// A reader answered from its copy.
+  /// Called when a reader has answered from its copy.
   std::function<void(const std::string& address)> onAnswered;
-  /// A reader lives and has nothing to answer from.
+  /// Called when a reader was reached but has not listed the topic, or the store is busy.
   std::function<void(const std::string& address)> onNoAnswer;
-  /// Nobody who could read for the zone was reached.
+  /// Called when no reader of the zone could be reached.
   std::function<void()> onNoReader;
-  /// How many nodes there are; 0: not known.
+  /// Number of members; 0: unknown.
   std::function<std::size_t()> members;
 };
 
-/// All nodes follow the same topics. One node of each zone lists and reads them for the others, so
-/// that neither the store's calls nor its bytes grow with the fleet. Asked are, one after the
-/// other: who answered last, the readers that all members agree on, the zone's claimed reader. When
-/// a reader lives and the store does not answer it, nobody else asks the store: after an outage
-/// hundreds of nodes would each read all that was missed, more than its bandwidth takes, and reads
-/// that run out of time are made again from the start. Appends go straight to the store.
+/// All nodes follow the same topics. One node of each zone reads them for the others, so that the
+/// load on the store does not grow with the fleet. Readers are tried in this order: the last one
+/// that answered, the readers by rendezvous hashing over the members, the zone's claimed reader. If
+/// a reader is reachable but the store does not answer it, other nodes do not read the store
+/// either: after an outage, hundreds of nodes that catch up at once would exceed its bandwidth.
+/// Appends go directly to the store.
 class SharedTopicStore final : public logstore::LogStore {
  public:
   /// \param direct, relay outlive this object.
@@ -57,9 +57,11 @@
                    std::string zone, TopicReaderSources sources, logstore::ClockFunction clock,
                    SharedTopicStoreKnobs knobs);
 
-  /// Serves a topic through its zone's reader. \param gateway outlives this object.
-  void share(const logstore::PartitionAddress& partition, logstore::TopicGateway& gateway);
-  /// \return the gateway that serves other nodes' reads of the partition, or null.
+  /// Reads this partition through the zone's reader from now on.
+  /// \param gateway serves the partition when this node is the reader; outlives this object.
+  void routeThroughReader(const logstore::PartitionAddress& partition,
+                          logstore::TopicGateway& gateway);
+  /// \return the gateway that serves reads of the partition for other nodes, or null.
   [[nodiscard]] logstore::TopicGateway* gatewayOf(
       const logstore::PartitionAddress& partition) const;
 
@@ -79,13 +81,13 @@
   void askNext(const std::shared_ptr<Call<Request, Reply>>& call);
   using ReadCall = Call<logstore::ReadRequest, logstore::ReadReply>;
   using ListingCall = Call<logstore::NewestRequest, logstore::NewestReply>;
-  void askOwn(const std::shared_ptr<ReadCall>& call);
-  void askOwn(const std::shared_ptr<ListingCall>& call);
+  void askSelf(const std::shared_ptr<ReadCall>& call);
+  void askSelf(const std::shared_ptr<ListingCall>& call);
   template <class Request, class Reply>
   void onReply(const std::shared_ptr<Call<Request, Reply>>& call, const std::string& reader,
                std::optional<logstore::StoreResult<Reply>> reply);
-  /// \return whether the store bears that every node reads the partition for itself.
-  [[nodiscard]] bool storeBearsAll(const logstore::PartitionAddress& partition) const;
+  /// \return whether the store has the bandwidth for direct reads of the partition by every node.
+  [[nodiscard]] bool canAllReadDirectly(const logstore::PartitionAddress& partition) const;
   [[nodiscard]] std::vector<std::string> readersOf(const logstore::PartitionAddress& partition);
 
   void callDirect(logstore::ReadRequest request,
@@ -102,7 +104,8 @@
   SharedTopicStoreKnobs knobs_;
   ledger::HomeSelector readers_{{}};
   std::map<logstore::PartitionAddress, logstore::TopicGateway*> gateways_;
-  std::map<logstore::PartitionAddress, std::string> provenReaders_;  ///< Who answered last.
+  std::map<logstore::PartitionAddress, std::string>
+      lastGoodReaders_;  ///< The last reader that answered.
 };
 
 }  // namespace gorsetrail::edge
--- a/src/edge/store_relay.cpp
+++ b/src/edge/store_relay.cpp
@@ -41,8 +41,8 @@
   const SharedWriter shared = std::move(writer);
   logstore::StoreCallRequest& call = valueOf(decoded);
   if (auto* const append = std::get_if<logstore::AppendRequest>(&call);
-      append != nullptr && aggregate_ && append->partition == aggregatedPartition_) {
-    aggregate_(std::move(*append), replyTo<logstore::AppendReply>(shared));
+      append != nullptr && appendHandler_ && append->partition == interceptedPartition_) {
+    appendHandler_(std::move(*append), replyTo<logstore::AppendReply>(shared));
   } else if (append != nullptr) {
     direct_.append(std::move(*append), replyTo<logstore::AppendReply>(shared));
   } else if (auto* const read = std::get_if<logstore::ReadRequest>(&call)) {
@@ -55,14 +55,14 @@
 
 void StoreRelayServer::onListing(logstore::NewestRequest request,
                                  logstore::StoreCallback<logstore::NewestReply> reply) {
-  if (!shareListing_ || !shareListing_(request, reply)) {
+  if (!listingHandler_ || !listingHandler_(request, reply)) {
     direct_.newest(std::move(request), std::move(reply));
   }
 }
 
 void StoreRelayServer::onRead(logstore::ReadRequest request,
                               logstore::StoreCallback<logstore::ReadReply> reply) {
-  if (!share_ || !share_(request, reply)) {
+  if (!readHandler_ || !readHandler_(request, reply)) {
     direct_.read(std::move(request), std::move(reply));
   }
 }
@@ -100,23 +100,23 @@
 
 std::string RelayedStore::chooseRelay(const logstore::PartitionAddress& partition) {
   const std::vector<std::string> relays = relays_(partition);
-  const bool isListed = std::find(relays.begin(), relays.end(), provenRelay_) != relays.end();
+  const bool isListed = std::find(relays.begin(), relays.end(), lastGoodRelay_) != relays.end();
   if (isListed) {
-    return provenRelay_;
+    return lastGoodRelay_;
   }
   return relays.empty() ? std::string() : relays[random_.below(relays.size())];
 }
 
 template <class Reply>
-logstore::StoreCallback<Reply> RelayedStore::noting(const std::string& relay,
-                                                    logstore::StoreCallback<Reply> callback) {
+logstore::StoreCallback<Reply> RelayedStore::recordingOutcome(
+    const std::string& relay, logstore::StoreCallback<Reply> callback) {
   return [this, relay, callback = std::move(callback)](logstore::StoreResult<Reply> result) {
     const auto* const error = std::get_if<logstore::StoreError>(&result);
     const bool reachedStore = error == nullptr || logstore::isStoreAnswer(error->fault);
     if (reachedStore) {
-      provenRelay_ = relay;
-    } else if (provenRelay_ == relay) {
-      provenRelay_.clear();
+      lastGoodRelay_ = relay;
+    } else if (lastGoodRelay_ == relay) {
+      lastGoodRelay_.clear();
     }
     callback(std::move(result));
   };
@@ -154,7 +154,7 @@
   const Duration limit = request.timeLimit;
   const std::string relay = chooseRelay(request.partition);
   send<logstore::AppendReply>(relay, std::move(request), limit,
-                              noting<logstore::AppendReply>(relay, std::move(callback)),
+                              recordingOutcome<logstore::AppendReply>(relay, std::move(callback)),
                               logstore::decodeAppendReply);
 }
 
@@ -163,7 +163,7 @@
   const Duration limit = request.timeLimit;
   const std::string relay = chooseRelay(request.partition);
   send<logstore::ReadReply>(relay, std::move(request), limit,
-                            noting<logstore::ReadReply>(relay, std::move(callback)),
+                            recordingOutcome<logstore::ReadReply>(relay, std::move(callback)),
                             logstore::decodeReadReply);
 }
 
@@ -172,7 +172,7 @@
   const Duration limit = request.timeLimit;
   const std::string relay = chooseRelay(request.partition);
   send<logstore::NewestReply>(relay, std::move(request), limit,
-                              noting<logstore::NewestReply>(relay, std::move(callback)),
+                              recordingOutcome<logstore::NewestReply>(relay, std::move(callback)),
                               logstore::decodeNewestReply);
 }
 
--- a/src/edge/store_relay.h
+++ b/src/edge/store_relay.h
@@ -1,4 +1,4 @@
-/// \file Both ends of a store call that one node makes for another.
+/// \file Client and server of store calls that one node makes on behalf of another.
 #pragma once
 
 #include <functional>
@@ -14,26 +14,27 @@
 
 namespace gorsetrail::edge {
 
-/// Answers other nodes' calls with single calls to the store of its own.
+/// Executes store calls of other nodes, one attempt each.
 class StoreRelayServer {
  public:
-  /// \param direct the direct way to the store, never a relay: calls do not go round.
+  /// \param direct the direct connection to the store, never a relay, so that calls are not
+  /// forwarded in a loop. Outlives this object.
   explicit StoreRelayServer(logstore::LogStore& direct) : direct_(direct) {}
-  /// Appends to this partition are handed over instead of made.
+  /// Passes appends to this partition to the handler instead of the store.
   using AppendHandler =
       std::function<void(logstore::AppendRequest, logstore::StoreCallback<logstore::AppendReply>)>;
-  void aggregateAppends(logstore::PartitionAddress partition, AppendHandler handler) {
-    aggregatedPartition_ = std::move(partition);
-    aggregate_ = std::move(handler);
+  void interceptAppends(logstore::PartitionAddress partition, AppendHandler handler) {
+    interceptedPartition_ = std::move(partition);
+    appendHandler_ = std::move(handler);
   }
-  /// Reads are offered to this first; it returns whether it takes one.
+  /// Offers reads to the handler before the store. It returns whether it handles the read.
   using ReadHandler = std::function<bool(const logstore::ReadRequest&,
                                          const logstore::StoreCallback<logstore::ReadReply>&)>;
-  void shareReads(ReadHandler handler) { share_ = std::move(handler); }
-  /// So are pages of listings.
+  void interceptReads(ReadHandler handler) { readHandler_ = std::move(handler); }
+  /// Offers listings to the handler before the store. It returns whether it handles the listing.
   using ListingHandler = std::function<bool(const logstore::NewestRequest&,
                                             const logstore::StoreCallback<logstore::NewestReply>&)>;
-  void shareListings(ListingHandler handler) { shareListing_ = std::move(handler); }
+  void interceptListings(ListingHandler handler) { listingHandler_ = std::move(handler); }
   void onRequest(const http::ServerRequest& request, http::ResponseWriterPtr writer);
 
  private:
@@ -42,33 +43,33 @@
                  logstore::StoreCallback<logstore::NewestReply> reply);
 
   logstore::LogStore& direct_;
-  ReadHandler share_;
-  ListingHandler shareListing_;
-  logstore::PartitionAddress aggregatedPartition_;
-  AppendHandler aggregate_;
+  ReadHandler readHandler_;
+  ListingHandler listingHandler_;
+  logstore::PartitionAddress interceptedPartition_;
+  AppendHandler appendHandler_;
 };
 
-/// Makes calls through another node: the one that the last call went through well, else one chosen
-/// at random. A share of the nodes may be cut off from the store like this one; choosing anew for
-/// each call would lose that share of the calls.
+/// A store client that relays calls through another node: the one whose last call reached the
+/// store, else a random one. Other nodes may be cut off from the store as well, and a random choice
+/// for each call would fail for that share of the calls.
 class RelayedStore final : public logstore::LogStore {
  public:
-  /// \return the addresses of other nodes' relays that calls for the partition may go through.
+  /// \return relay addresses of other nodes that may relay calls for the partition.
   using Relays = std::function<std::vector<std::string>(const logstore::PartitionAddress&)>;
 
   RelayedStore(http::HttpClient& client, Relays relays, std::uint64_t seed);
 
-  /// Makes one append through this node.
+  /// Appends through the given node.
   void appendThrough(const std::string& relay, logstore::AppendRequest request,
                      logstore::StoreCallback<logstore::AppendReply> callback);
 
-  /// Called once with what the node replied; nothing when the node itself was not reached.
+  /// Called once with the node's reply; with nothing if the node was unreachable.
   template <class Reply>
   using ReplyHandler = std::function<void(std::optional<logstore::StoreResult<Reply>>)>;
-  /// Makes one read through this node.
+  /// Reads through the given node.
   void callThrough(const std::string& relay, logstore::ReadRequest request,
                    const ReplyHandler<logstore::ReadReply>& handler);
-  /// Gets one page of a listing through this node.
+  /// Lists one page through the given node.
   void callThrough(const std::string& relay, logstore::NewestRequest request,
                    const ReplyHandler<logstore::NewestReply>& handler);
 
@@ -87,17 +88,17 @@
   template <class Reply, class Decode>
   void send(const std::string& relay, const logstore::StoreCallRequest& call, Duration timeLimit,
             logstore::StoreCallback<Reply> callback, Decode decode);
-  /// \return the node for the next call; empty when there is none.
+  /// \return the relay for the next call; empty if there is none.
   std::string chooseRelay(const logstore::PartitionAddress& partition);
-  /// \return a callback that also notes whether the relay reached the store.
+  /// \return a callback that also records whether the relay reached the store.
   template <class Reply>
-  logstore::StoreCallback<Reply> noting(const std::string& relay,
-                                        logstore::StoreCallback<Reply> callback);
+  logstore::StoreCallback<Reply> recordingOutcome(const std::string& relay,
+                                                  logstore::StoreCallback<Reply> callback);
 
   http::HttpClient& client_;
   Relays relays_;
   RandomSource random_;
-  std::string provenRelay_;  ///< Empty after a failure.
+  std::string lastGoodRelay_;  ///< Empty after a failure.
 };
 
 }  // namespace gorsetrail::edge
--- a/src/edge/topic_readers.cpp
+++ b/src/edge/topic_readers.cpp
@@ -19,10 +19,10 @@
       knobs_(knobs),
       random_(seed),
       election_(std::move(self.address), self.capacity, {}, seed),
-      pause_(knobs.firstPause) {}
+      backoff_(knobs.initialBackoff) {}
 
-void TopicReaders::turn() {
-  if (!isUnderWay_ && clock_() >= pausedUntil_) {
+void TopicReaders::pollLoop() {
+  if (!isCallPending_ && clock_() >= backoffUntil_) {
     switch (election_.next(clock_())) {
       case ReaderElection::Step::List:
         list();
@@ -34,21 +34,21 @@
         break;
     }
   }
-  const bool isAtRest = !isUnderWay_ && !reader().empty();
-  timers_.runAfter(isAtRest ? knobs_.restingPeriod : knobs_.period, [this] { turn(); });
+  const bool isAtRest = !isCallPending_ && !reader().empty();
+  timers_.runAfter(isAtRest ? knobs_.idlePeriod : knobs_.activePeriod, [this] { pollLoop(); });
 }
 
 void TopicReaders::list() {
-  isUnderWay_ = true;
-  store_.newest({claims_, {}, knobs_.patience, Duration::zero()},
+  isCallPending_ = true;
+  store_.newest({claims_, {}, knobs_.callTimeout, Duration::zero()},
                 [this](const logstore::StoreResult<logstore::NewestReply>& result) {
-                  isUnderWay_ = false;
+                  isCallPending_ = false;
                   const auto* const page = std::get_if<logstore::NewestReply>(&result);
                   if (page == nullptr) {
                     onFailure();
                     return;
                   }
-                  pause_ = knobs_.firstPause;
+                  backoff_ = knobs_.initialBackoff;
                   // A claim that cannot be read is none: the next one takes its place.
                   std::string address;
                   for (const logstore::KeyedItem& item : page->items) {
@@ -58,40 +58,40 @@
                     }
                   }
                   election_.onListed(address, clock_());
-                  tellReader();
+                  reportReader();
                 });
 }
 
 void TopicReaders::claim() {
-  isUnderWay_ = true;
+  isCallPending_ = true;
   logstore::AppendRequest request{
       claims_,
       {logstore::encodeKeyedRecord(zone_, encodeMemberRecord(ownRecord_()))},
-      knobs_.patience};
+      knobs_.callTimeout};
   store_.append(std::move(request),
                 [this](const logstore::StoreResult<logstore::AppendReply>& result) {
-                  isUnderWay_ = false;
+                  isCallPending_ = false;
                   if (std::holds_alternative<logstore::StoreError>(result)) {
                     onFailure();
                     return;
                   }
-                  pause_ = knobs_.firstPause;
+                  backoff_ = knobs_.initialBackoff;
                   election_.onClaimed(clock_());
-                  tellReader();
+                  reportReader();
                 });
 }
 
 void TopicReaders::onFailure() {
-  const auto half = static_cast<std::uint64_t>(pause_.count() / 2);
-  pausedUntil_ =
-      clock_() + pause_ / 2 + Duration(static_cast<Duration::rep>(random_.below(half + 1)));
-  pause_ = std::min(pause_ * 2, knobs_.longestPause);
+  const auto half = static_cast<std::uint64_t>(backoff_.count() / 2);
+  backoffUntil_ =
+      clock_() + backoff_ / 2 + Duration(static_cast<Duration::rep>(random_.below(half + 1)));
+  backoff_ = std::min(backoff_ * 2, knobs_.maximumBackoff);
 }
 
-void TopicReaders::tellReader() {
+void TopicReaders::reportReader() {
   const std::string reader = election_.reader(clock_());
-  if (!reader.empty() && reader != toldReader_) {
-    toldReader_ = reader;
+  if (!reader.empty() && reader != reportedReader_) {
+    reportedReader_ = reader;
     onReader_(reader);
   }
 }
--- a/src/edge/topic_readers.h
+++ b/src/edge/topic_readers.h
@@ -1,4 +1,4 @@
-/// \file Keeps the claims of the zones' readers: lists them, and writes this node's own.
+/// \file Runs the election of the zone's topic reader against the store.
 #pragma once
 
 #include <functional>
@@ -12,33 +12,32 @@
 
 namespace gorsetrail::edge {
 
-/// Knobs of `TopicReaders`.
+/// Settings of `TopicReaders`.
 struct TopicReadersKnobs {
-  /// Between two looks at what the election asks for, while a reader is looked for; small beside
-  /// its delays.
-  Duration period = milliseconds(50);
-  /// And while there is one: a node wakes up for it twice a second.
-  Duration restingPeriod = milliseconds(500);
-  Duration patience = milliseconds(1000);
-  /// After a call that failed the pause doubles from here up to `longestPause`, with jitter: 1,000
-  /// nodes then ask a store that is slow or away 700 times a second at most.
-  Duration firstPause = milliseconds(100);
-  Duration longestPause = milliseconds(1500);
+  /// Polling interval of the election while no reader is known.
+  Duration activePeriod = milliseconds(50);
+  /// Polling interval while a reader is known.
+  Duration idlePeriod = milliseconds(500);
+  Duration callTimeout = milliseconds(1000);  ///< Of one store call.
+  /// Backoff after a failed call, with jitter. Doubles up to `maximumBackoff`, to limit the calls
+  /// of a large fleet to a slow or unavailable store.
+  Duration initialBackoff = milliseconds(100);
+  Duration maximumBackoff = milliseconds(1500);
 };
 
-/// The node that runs `TopicReaders`.
+/// The node that takes part in the election.
 struct ReaderNode {
-  std::string address;  ///< Where other nodes ask for store calls.
+  std::string address;  ///< Relay address for store calls of other nodes.
   std::string zone;
   double capacity = 1.0;  ///< See `MemberRecord::capacity`.
 };
 
-/// Runs `ReaderElection` against the store. The claims stand in a topic of their own, key: the
-/// zone, value: the reader's member record.
+/// Lists and writes the claims of `ReaderElection` in the store. Claims have a topic of their own;
+/// key: the zone, value: the reader's member record.
 class TopicReaders {
  public:
   using OwnRecord = std::function<MemberRecord()>;
-  /// Told when the zone's reader becomes another one.
+  /// Called when the zone's reader has changed.
   using OnReader = std::function<void(const std::string& address)>;
 
   /// \param store, timers outlive this object.
@@ -46,7 +45,7 @@
                logstore::ClockFunction clock, logstore::PartitionAddress claims, ReaderNode self,
                OwnRecord ownRecord, OnReader onReader, TopicReadersKnobs knobs, std::uint64_t seed);
 
-  void start() { turn(); }
+  void start() { pollLoop(); }
   [[nodiscard]] std::string reader() const { return election_.reader(clock_()); }
   [[nodiscard]] bool isReader() const { return election_.isReader(); }
   void onUnreachable(const std::string& address) { election_.onUnreachable(address, clock_()); }
@@ -55,11 +54,11 @@
   void onNoReader() { election_.onNoReader(clock_()); }
 
  private:
-  void turn();
+  void pollLoop();
   void list();
   void claim();
   void onFailure();
-  void tellReader();
+  void reportReader();
 
   logstore::LogStore& store_;
   services::TimerService& timers_;
@@ -71,10 +70,10 @@
   TopicReadersKnobs knobs_;
   RandomSource random_;
   ReaderElection election_;
-  std::string toldReader_;
-  bool isUnderWay_ = false;
-  Duration pause_;
-  Instant pausedUntil_;
+  std::string reportedReader_;
+  bool isCallPending_ = false;
+  Duration backoff_;
+  Instant backoffUntil_;
 };
 
 }  // namespace gorsetrail::edge
--- a/src/edge/unreadable_records.h
+++ b/src/edge/unreadable_records.h
@@ -1,4 +1,4 @@
-/// \file Which of the store's records cannot be read, for the log and the metrics.
+/// \file Tracks records of the store that cannot be decoded, for logs and metrics.
 #pragma once
 
 #include <array>
@@ -13,44 +13,44 @@
 
 namespace gorsetrail::edge {
 
-/// Whose records they are.
+/// The kinds of records by their writers.
 enum class RecordKind : std::uint8_t { Replica, Member, Configuration, Operator };
 inline constexpr std::size_t kRecordKinds = 4;
 
-/// Knobs of `UnreadableRecords`.
+/// Settings of `UnreadableRecords`.
 struct UnreadableRecordsKnobs {
-  /// Lines of one kind within a window: enough to see that one writer damages many entries. At ten
-  /// lines of some 200 bytes they are a hundredth of what a busy node logs.
+  /// Limit of log lines for one kind within `window`. Enough to show that one writer damages many
+  /// records.
   std::uint32_t linesPerWindow = 10;
   Duration window = seconds(10);
-  /// Keys of one kind whose line was written; with more, further ones are only counted. Ten times
-  /// the replicas of the largest deployment known.
+  /// Limit of remembered keys for one kind. Records of further keys are counted but not logged.
   std::size_t maximumKeys = 1000;
 };
 
-/// Counts records that cannot be read and says which of them are worth a log line: one for each key
-/// until it can be read again or is gone, and no more than the allowed rate. A damaged entry is
-/// written again with every heartbeat, by as many writers as there are. No I/O, no clock.
+/// Counts undecodable records and decides which of them to log: each key once until it is readable
+/// or removed, within a rate limit. A damaged record is repeated with every heartbeat of its
+/// writer. No I/O, no clock.
 class UnreadableRecords {
  public:
   explicit UnreadableRecords(UnreadableRecordsKnobs knobs = {}) : knobs_(knobs) {}
 
-  /// \return whether to write a line of it.
+  /// \return whether to log the record.
   bool onUnreadable(RecordKind kind, const std::string& key, Instant now);
-  /// The key's record can be read, or was removed.
+  /// Called when the key's record is readable or was removed.
   void onReadable(RecordKind kind, const std::string& key);
-  /// All keys of the topic: others are gone.
+  /// Called with all keys of the topic; other keys are removed.
   void onListed(RecordKind kind, const std::vector<std::string>& keys);
 
-  /// \return whether a record of the kind cannot be read now, as far as was told.
-  [[nodiscard]] bool hasAny(RecordKind kind) const { return !of(kind).told.empty(); }
+  /// \return whether a logged record of this kind is still unreadable. Records that were not logged
+  /// are not considered.
+  [[nodiscard]] bool hasAny(RecordKind kind) const { return !of(kind).loggedKeys.empty(); }
   [[nodiscard]] std::uint64_t count(RecordKind kind) const { return of(kind).count; }
 
  private:
   struct State {
     std::uint64_t count = 0;
-    std::set<std::string, std::less<>> told;
-    Instant windowBegan;
+    std::set<std::string, std::less<>> loggedKeys;
+    Instant windowStart;
     std::uint32_t linesInWindow = 0;
   };
   State& of(RecordKind kind) { return states_[static_cast<std::size_t>(kind)]; }
--- a/src/edge/wire_adapter.h
+++ b/src/edge/wire_adapter.h
@@ -1,5 +1,5 @@
-/// \file What the edge needs of the formats around it. Implemented outside the product's core:
-/// names, formats and calls, nothing that decides.
+/// \file Interfaces to external formats: HTTP headers, directory queries, stored documents.
+/// Implemented outside the core, without any policy.
 #pragma once
 
 #include <optional>
@@ -15,14 +15,14 @@
 
 namespace gorsetrail::edge {
 
-/// A client asks which addresses to use.
+/// A client's query for node addresses.
 struct DirectoryQuery {
   std::string host;
   std::string region;
   std::string zone;
 };
 
-/// Heads of requests and answers.
+/// Converts between HTTP messages and the edge's request types.
 class WireAdapter {
  public:
   virtual ~WireAdapter() = default;
@@ -31,36 +31,36 @@
                                                          const Dispatch& dispatch) const = 0;
   [[nodiscard]] virtual ReplicaHead readReplicaHead(
       unsigned status, const std::vector<http::Header>& headers) const = 0;
-  /// \return the replica's headers that the client gets.
+  /// \return those of the replica's headers that are passed to the client.
   [[nodiscard]] virtual std::vector<http::Header> clientHeaders(
       const std::vector<http::Header>& headers) const = 0;
   [[nodiscard]] virtual http::WholeResponse makeRefusal(const CallRequest& request,
                                                         const Refusal& refusal) const = 0;
-  /// \return the question, or nothing when the request is no such question.
+  /// \return the query, or nothing if the request is not a directory query.
   [[nodiscard]] virtual std::optional<DirectoryQuery> readDirectoryQuery(
       const http::ServerRequest& request) const = 0;
   [[nodiscard]] virtual http::WholeResponse makeDirectoryAnswer(
       const std::vector<std::string>& addresses, double ttlSeconds) const = 0;
 };
 
-/// Documents that operators and replicas keep in the store, and where they stand.
+/// Decodes documents that operators and replicas store, and names their topics and keys.
 class DocumentAdapter {
  public:
   virtual ~DocumentAdapter() = default;
-  /// Errors: `InvalidBundle` with the field at fault.
+  /// Errors: `InvalidBundle` with the invalid field.
   [[nodiscard]] virtual Result<routing::Configuration> readConfiguration(
       std::string_view document) const = 0;
   /// Errors: `InvalidField`.
   [[nodiscard]] virtual Result<routing::ReplicaEntry> readReplicaEntry(
       std::string_view id, std::string_view document) const = 0;
-  /// \return whether two registrations of one replica differ in nothing that matters.
+  /// \return whether two registrations of a replica are equivalent.
   [[nodiscard]] virtual bool sameRegistration(std::string_view left,
                                               std::string_view right) const = 0;
   [[nodiscard]] virtual std::string configurationTopic() const = 0;
   [[nodiscard]] virtual std::string configurationKey() const = 0;
   [[nodiscard]] virtual std::string replicaTopic() const = 0;
-  /// \return the zone that a record under this key of the configuration's topic evacuates; nothing
-  /// for other keys. The zone stays evacuated while the key has a record, whatever its value.
+  /// \return the zone that a record with this key in the configuration topic evacuates; nothing for
+  /// other keys. The zone stays evacuated while the key has a record, whatever its value.
   [[nodiscard]] virtual std::optional<std::string> evacuatedZoneOf(std::string_view key) const = 0;
 };
 
--- a/tests/edge/fleet_start_test.cpp
+++ b/tests/edge/fleet_start_test.cpp
@@ -213,7 +213,7 @@
             [](const std::string&) {}, {}, seed),
         shared_(store_, relay_, nodeAddress, nodeZone, sources(), clock_, {}) {
     if (usesReaders) {
-      shared_.share(kReplicaPartition, gateway);
+      shared_.routeThroughReader(kReplicaPartition, gateway);
       readers.start();
     }
     logstore::KeyedTopicObserver observer;
--- a/tests/edge/load_exchange_test.cpp
+++ b/tests/edge/load_exchange_test.cpp
@@ -51,14 +51,14 @@
   replica->inFlight = 3;
   sender.send({replica}, peers, now);
   receiveAll();
-  LONGS_EQUAL(4 + LoadExchangeKnobs{}.maximumFarPeers, got.size());
+  LONGS_EQUAL(4 + LoadExchangeKnobs{}.maximumOtherRegionPeers, got.size());
   for (const routing::LoadDigest& digest : got) {
     CHECK(digest.region == routing::regionHashOf("west"));
     LONGS_EQUAL(3, digest.loads.front().inFlight);
   }
   sender.send({replica}, peers, now);
   receiveAll();
-  LONGS_EQUAL(4 + LoadExchangeKnobs{}.maximumFarPeers, got.size());  // Nothing has changed.
+  LONGS_EQUAL(4 + LoadExchangeKnobs{}.maximumOtherRegionPeers, got.size());  // Nothing has changed.
 }
 
 TEST(LoadExchange, countsDatagramsThatAreNoDigest) {
@@ -73,5 +73,5 @@
   stranger.send(addresses.front(), digest);
   receiveAll();
   LONGS_EQUAL(1, got.size());
-  LONGS_EQUAL(3, receivers.front()->unreadable());
+  LONGS_EQUAL(3, receivers.front()->unreadableDigests());
 }
--- a/tests/edge/member_table_test.cpp
+++ b/tests/edge/member_table_test.cpp
@@ -26,7 +26,7 @@
     record.leaving = leaving;
     record.capacity = capacity;
     table.onRecord(key, record, now);
-    table.onFresh(now);
+    table.onRecordsRead(now);
   }
 };
 
@@ -41,7 +41,7 @@
 
 TEST(MemberTable, namesTheRegionsNodesBeforeThoseOfOtherRegions) {
   const routing::ZoneTable zones({{"wa", "west"}, {"wb", "west"}, {"ea", "east"}});
-  const ClientPlace client{"wa", "west", &zones};
+  const ClientLocation client{"wa", "west", &zones};
   hear("wa1", "wa");
   hear("wb1", "wb");
   hear("ea1", "ea");
@@ -57,14 +57,14 @@
   const routing::RegionSet allowed = {"east"};
   hear("ea1", "ea");
   hear("na1", "na");
-  const ClientPlace west{"wa", "west", &zones, &allowed};
+  const ClientLocation west{"wa", "west", &zones, &allowed};
   CHECK(table.clientAddresses(west, nobody) == std::vector<std::string>{"ea1:1"});
   hear("wa1", "wa");
   hear("wa2", "wa");
   CHECK(table.clientAddresses(west, nobody) == (std::vector<std::string>{"wa1:1", "wa2:1"}));
   silent = {"ea1", "wa1", "wa2"};
   LONGS_EQUAL(0, table.clientAddresses(west, nobody).size());
-  const ClientPlace elsewhere{"unknown", "north", &zones, &allowed};
+  const ClientLocation elsewhere{"unknown", "north", &zones, &allowed};
   CHECK(table.clientAddresses(elsewhere, nobody) == std::vector<std::string>{"na1:1"});
 }
 
@@ -89,7 +89,7 @@
   LONGS_EQUAL(8, addresses.size());
   CHECK(std::all_of(addresses.begin(), addresses.end(),
                     [](const std::string& address) { return address.find("strong") == 0; }));
-  LONGS_EQUAL(8, table.servingIn("a").size());
+  LONGS_EQUAL(8, table.namedNodesIn("a").size());
   silent = {"strong0", "strong1"};
   const auto left = table.clientAddresses("a", nobody);
   LONGS_EQUAL(8, left.size());
@@ -110,8 +110,8 @@
   hear("a2", "a");
   hear("a2", "a", true);
   LONGS_EQUAL(1, table.clientAddresses("a", nobody).size());
-  LONGS_EQUAL(1, table.countIn("a"));
-  LONGS_EQUAL(2, table.alive().size());
+  LONGS_EQUAL(1, table.countServingIn("a"));
+  LONGS_EQUAL(2, table.liveMembers().size());
 }
 
 TEST(MemberTable, forgetsNodesThatAreSilentWhileOthersAreHeard) {
@@ -128,7 +128,7 @@
   hear("a3", "a");
   silent = {"a2"};
   CHECK(table.clientAddresses("a", nobody) == (std::vector<std::string>{"a1:1", "a3:1"}));
-  LONGS_EQUAL(2, table.alive().size());
+  LONGS_EQUAL(2, table.liveMembers().size());
   silent.clear();
   LONGS_EQUAL(3, table.clientAddresses("a", nobody).size());
 }
@@ -138,10 +138,10 @@
   hear("a2", "a");
   now += seconds(599);
   hear("a1", "a");
-  LONGS_EQUAL(0, table.dropForgotten().size());
+  LONGS_EQUAL(0, table.removeExpired().size());
   now += seconds(1);
   hear("a1", "a");
-  CHECK(table.dropForgotten() == std::vector<std::string>{"a2"});
+  CHECK(table.removeExpired() == std::vector<std::string>{"a2"});
   CHECK(table.heartbeat() == seconds(1));
 }
 
@@ -161,10 +161,10 @@
   CHECK(table.heartbeat() == seconds(5));
   now += seconds(16);
   hear("a1", "a");
-  LONGS_EQUAL(299, table.countIn("b"));
+  LONGS_EQUAL(299, table.countServingIn("b"));
   now += seconds(1);
   hear("a1", "a");
-  LONGS_EQUAL(0, table.countIn("b"));
+  LONGS_EQUAL(0, table.countServingIn("b"));
 }
 
 TEST(MemberTable, recordsKeepTheirFieldsAndBrokenOnesAreFound) {
--- a/tests/edge/shared_topic_store_test.cpp
+++ b/tests/edge/shared_topic_store_test.cpp
@@ -45,7 +45,7 @@
     return made;
   }
   void setup() override {
-    store.share(partition, gateway);
+    store.routeThroughReader(partition, gateway);
     log.logs[partition] = {logstore::encodeKeyedRecord("a", "stored")};
   }
   void listOwn() {
