--- a/src/edge/datagram_socket.cpp
+++ b/src/edge/datagram_socket.cpp
@@ -35,7 +35,8 @@
   }
   if (!endpoint || error) {
     return Error{ErrorKind::InvalidSettings, "internal port " + address,
-                 endpoint ? error.message() : "it is not `ip:port`", "free the port"};
+                 endpoint ? error.message() : "the address must have the form `ip:port`",
+                 "correct the address, or free the port"};
   }
   receive();
   return Success{};
@@ -56,8 +57,8 @@
 
 void DatagramSocket::send(const std::string& address, std::string_view bytes) {
   if (const auto endpoint = datagramEndpoint(address)) {
-    error_code lost;  // A datagram that cannot be sent now counts as lost on the way.
-    socket_.send_to(boost::asio::buffer(bytes), *endpoint, 0, lost);
+    error_code ignored;  // Ignored: senders must tolerate lost datagrams.
+    socket_.send_to(boost::asio::buffer(bytes), *endpoint, 0, ignored);
   }
 }
 
--- a/src/edge/edge_daemon.cpp
+++ b/src/edge/edge_daemon.cpp
@@ -18,23 +18,24 @@
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kUnavailable = 503;
 constexpr Duration kFlushPeriod = milliseconds(250);
-/// A loop that is late by so many periods stood still; a busy one is late by a part of one.
+/// If the flush loop is late by more than this many periods, the process was suspended. A busy loop
+/// is late by less than one period.
 constexpr int kSuspendedAfterMissedFlushes = 3;
 constexpr Duration kSweepPeriod = seconds(10);
 constexpr Duration kLeasePeriod = seconds(1);
 constexpr Duration kStopCheckPeriod = milliseconds(100);
-/// Clients may hold this node's address for a while after it left the directory: so long are their
-/// requests taken. Later ones are told at once that they have not run, since the process may end
-/// before they do.
+/// Requests are accepted for this time after the stop signal, because clients cache this node's
+/// address after it left the directory. Later requests are refused as not executed, because the
+/// process may end before they finish.
 constexpr Duration kAcceptAfterStop = milliseconds(3000);
 constexpr Duration kMinimumStopTime = milliseconds(3200);
-/// Left of the stop limit for the end of the process.
+/// Part of the stop limit reserved for the end of the process.
 constexpr Duration kStopMargin = milliseconds(700);
-/// Clients ask again after this, so that a dead node is not used for long.
+/// Time to live of directory answers; bounds how long clients use the address of a dead node.
 constexpr double kAddressTtlSeconds = 1.0;
 constexpr Duration kServerSweepPeriod = seconds(2);
 
-/// \return what a client gets whose request could not be read.
+/// \return the HTTP status for a request that could not be read.
 unsigned statusOf(http::ProtocolFault fault) {
   constexpr unsigned kBadRequest = 400;
   constexpr unsigned kTimeout = 408;
@@ -64,7 +65,8 @@
       timers_(services::makeTimerService(context)),
       clock_(steadyNow),
       log_(parts.log, clock_, {}),
-      // The time of day may be set back between two starts of a node: the detector copes.
+      // The system clock may jump backwards between two processes of a node. The failure detector
+      // tolerates incarnations that are not increasing.
       peerMonitor_(
           context, *timers_, clock_, Incarnation(unixTimeMilliseconds()), {}, seed,
           [this](const std::string& ip, membership::MemberState state) { onPeerState(ip, state); }),
@@ -102,8 +104,8 @@
           [this] { return ownRecord(); },
           [this](const std::string& address) {
             log_.important("topic_reader", {{"zone", settings_.zone}, {"address", address}});
-            // Together: a node that had its configuration long before the members would refuse
-            // turns, since it would not know whom to ask for their budgets.
+            // All three are retried together: a node with a configuration but without members would
+            // refuse turns, because it could not find the nodes that hold their budgets.
             memberFollower_->retryNow();
             replicaFollower_->retryNow();
             configurationFollower_->retryNow();
@@ -124,7 +126,7 @@
       evacuationRule_(evacuations_, {}),
       coldReplicas_(coldReplicaKnobsOf(settings_), coldReplicaSources(), settings_.listen.clients,
                     seed),
-      // The regions' rule first: what may never serve a request is no reason to wait.
+      // The region rule comes first: a replica that it excludes is no reason to wait for capacity.
       placement_(replicas_, selector_, admission_,
                  {&regionRule_, &evacuationRule_, &coldReplicas_}),
       fleetLoad_({}, routing::regionHashOf(zones_.regionOf(settings_.zone))),
@@ -220,8 +222,8 @@
   return staticShares_;
 }
 
-// Every node counts an entry that cannot be read, each time that it is written: it is another
-// writer's, and its heartbeats are not known to be such.
+// An unreadable registration counts as changed, so that each node counts every write of it. The
+// heartbeats in such a record cannot be told from other changes.
 bool EdgeDaemon::isUnchangedRegistration(const std::string& older, const std::string& newer) const {
   return parts_.documents.sameRegistration(older, newer) &&
          (!unreadableRecords_.hasAny(RecordKind::Replica) ||
@@ -458,9 +460,9 @@
   checkStopped();
 }
 
-// A process that stands still does not see the signal, and the operator's limit runs on: the stop
-// may have been asked for right after this process last ran. Without this it would wait past the
-// limit for its open requests and be killed amid them.
+// A suspended process does not see the stop signal while the operator's limit runs, so the signal
+// may have been sent right after the process last ran. Assuming this keeps the process from waiting
+// for open requests beyond the limit and being killed.
 Instant EdgeDaemon::earliestStopSignalTime() const {
   const Instant now = clock_();
   const bool wasSuspended = now - lastFlushAt_ > kFlushPeriod * kSuspendedAfterMissedFlushes;
--- a/src/edge/edge_daemon_figures.cpp
+++ b/src/edge/edge_daemon_figures.cpp
@@ -1,4 +1,4 @@
-// The part of `EdgeDaemon` that gathers the figures of the metrics page.
+// The part of `EdgeDaemon` that collects the values of the metrics endpoint.
 #include "edge/edge_daemon.h"
 #include "edge/edge_daemon_shared.h"
 
--- a/src/edge/edge_daemon_followers.cpp
+++ b/src/edge/edge_daemon_followers.cpp
@@ -1,4 +1,4 @@
-// The part of `EdgeDaemon` that follows the store: configuration, replicas, other nodes.
+// The part of `EdgeDaemon` that follows the store's topics: configuration, replicas, members.
 #include <array>
 #include <bit>
 #include <string_view>
@@ -11,11 +11,12 @@
 namespace gorsetrail::edge {
 namespace {
 
-/// Between two reads of the configuration; the zone's reader may add as much.
+/// Pause between two reads of the configuration. A read through the zone's reader may add the same
+/// again.
 constexpr Duration kConfigurationPause = milliseconds(200);
-/// A node's first answers come within 3.5 s of the start of 985 nodes at once.
+/// Failed reads within this time after the start are attributed to the start of the fleet.
 constexpr Duration kStartupTime = milliseconds(4000);
-/// Registrations that are missing so soon after an outage of the store lapsed because of it.
+/// Registrations that disappear within this time after a store outage are attributed to the outage.
 constexpr Duration kOutageRecoveryTime = milliseconds(2000);
 
 }  // namespace
@@ -54,8 +55,8 @@
   } else {
     reportUnreadableRecord(RecordKind::Operator, key,
                            {ErrorKind::InvalidField, "key",
-                            "it is neither the configuration's nor that of an evacuated zone",
-                            "remove the record, or correct the zone's name"});
+                            "expected the configuration key or the key of a zone evacuation",
+                            "remove the record, or correct the zone name in its key"});
   }
 }
 
@@ -106,7 +107,8 @@
   auto read = parts_.documents.readConfiguration(value);
   const std::string key = parts_.documents.configurationKey();
   if (!succeeded(read)) {
-    // The one before stays in force. Operators correct one fault after the other: each gets a line.
+    // The previous configuration stays in force. Every invalid version is logged, because operators
+    // correct one fault after the other.
     unreadableRecords_.onReadable(RecordKind::Configuration, key);
     reportUnreadableRecord(RecordKind::Configuration, key, errorOf(read));
     return;
@@ -115,7 +117,8 @@
   auto regions = routing::RegionPolicy::make(valueOf(read), zones_, settings_.zone);
   if (!succeeded(regions)) {
     refusedConfiguration_ = value;
-    // The one before stays in force: half of this one could send requests where they must not go.
+    // The previous configuration stays in force: applying only a part of this one could route
+    // requests to forbidden regions.
     log_.important("configuration_refused", {{"version", valueOf(read).version.value()},
                                              {"error", errorOf(regions).toText()}});
     return;
@@ -126,7 +129,8 @@
   const std::uint64_t version = configuration->version.value();
   const std::uint64_t routes = configuration->routes.size();
   const bool newer = routes_.apply(std::move(configuration));
-  updateColdReplicas();  // Replicas that were listed first may bear less than was known.
+  updateColdReplicas();  // The configuration may lower the rate of replicas that are already
+                         // listed.
   log_.important(newer ? "configuration_in_force" : "configuration_not_newer",
                  {{"version", version}, {"routes", routes}});
 }
@@ -134,8 +138,8 @@
 void EdgeDaemon::onZonesChanged() {
   zones_ = routing::ZoneTable(settings_.regionOfZone);
   ledger_.setZones(settings_.zones, settings_.regionOfZone);
-  // The follower reads each record once: without this an operator who adds a region after its first
-  // use would have to publish a new version.
+  // The follower delivers each record once. Without this retry, an operator who adds a region after
+  // its first use would have to publish a new version.
   if (!refusedConfiguration_.empty()) {
     onConfigurationRecord(std::string(refusedConfiguration_));
   }
@@ -174,7 +178,8 @@
 }
 
 void EdgeDaemon::onRegistrationLost(const std::string& id, std::string_view source) {
-  // Replicas could not renew their registrations while the store was out of order.
+  // During a store outage replicas could not renew their registrations, so an expired one does not
+  // show that the replica is gone.
   const routing::ReplicaChange change = isOrWasStoreUnavailable()
                                             ? replicas_.doubt(id, clock_() + settings_.bounds.drain)
                                             : replicas_.remove(id);
@@ -219,8 +224,8 @@
   }
 }
 
-// A release replaces replicas by the hundred and a fleet starts with thousands: every node would
-// write a line of each. What may no longer be used is always told.
+// Releases and fleet starts change many replicas at once, and every node would log each. Draining
+// replicas are always logged.
 void EdgeDaemon::logReplicaChange(const routing::ReplicaEntry& entry) {
   const std::initializer_list<LogField> fields = {{"replica", entry.id},
                                                   {"service", entry.service},
@@ -237,7 +242,7 @@
   if (!entry.startedAt || routing::isPlausible(*entry.startedAt, unixTimeMilliseconds())) {
     return;
   }
-  // It comes again with every heartbeat: the lines get rarer.
+  // The record is repeated with every heartbeat: only counts that are powers of two are logged.
   if (std::has_single_bit(++implausibleStarts_)) {
     log_.important("replica_start_implausible", {{"replica", entry.id},
                                                  {"started_unix_ms", entry.startedAt->value()},
@@ -270,7 +275,8 @@
 
 void EdgeDaemon::onOutdatedRegistration(const routing::ReplicaEntry& entry) {
   const std::uint64_t count = replicas_.outdatedEntries();
-  // Two processes under one id make such an entry with every heartbeat: the lines get rarer.
+  // Two processes with the same id cause this with every heartbeat: only counts that are powers of
+  // two are logged.
   if (std::has_single_bit(count)) {
     log_.important("replica_entry_outdated", {{"replica", entry.id},
                                               {"started_unix_ms", entry.startedAt->value()},
@@ -281,9 +287,10 @@
 
 void EdgeDaemon::onReplicaUnreadable(const std::string& id, const Error& error) {
   reportUnreadableRecord(RecordKind::Replica, id, error);
-  // Removed, not doubted: doubt is for replicas that could not renew their registrations and most
-  // likely live. This one was written, and nobody can say any more who is at the address known
-  // before: requests sent there could run at another replica. Those under way go on.
+  // The replica is removed rather than kept as doubtful. Doubtful replicas could not renew their
+  // registrations and are probably alive; here a new record was written, and the process at the
+  // previous address is unknown: requests sent there could run at another replica. Requests in
+  // flight continue.
   if (replicas_.remove(id) != routing::ReplicaChange::None) {
     log_.important("replica_gone", {{"replica", id}, {"by", "unreadable"}});
   }
@@ -303,7 +310,7 @@
   }
   unreadableRecords_.onReadable(RecordKind::Member, key);
   peerMonitor_.watch(key);
-  // A node that starts meets all members at once: one line tells of them, see `onListed`.
+  // A starting node sees all members at once; `onListed` logs them in one line.
   if (members_.onRecord(key, valueOf(record), clock_()) && membersListed_) {
     log_.routine("member_changed", {{"node", valueOf(record).nodeName},
                                     {"state", valueOf(record).leaving ? "leaving" : "serving"}});
@@ -322,7 +329,8 @@
     unreadableRecords_.onListed(RecordKind::Member, keys);
     log_.important("members_listed", {{"count", std::uint64_t{keys.size()}}});
     if (!stopping_) {
-      ledger_.tendLeases();  // An outage may come before the next turn of `leaseLoop`.
+      ledger_.tendLeases();  // Immediately, because the store may become unavailable before the
+                             // next run of `leaseLoop`.
     }
   };
   observer.onFresh = [this](Instant askedAt) {
@@ -347,8 +355,8 @@
   log_.important("store_regained", {{"topic", topic}, {"address", settings_.store.address}});
 }
 
-// Until a zone's reader has listed the topics a starting node gets no answer: that is no outage, in
-// which replicas could not renew their registrations and lapsed ones would have to be doubted.
+// A starting node gets no answer until its zone's reader has listed the topics. This does not count
+// as a store outage, during which expired registrations would be kept as doubtful.
 bool EdgeDaemon::isStarting(std::string_view topic) const {
   return !everReadTopics_.contains(topic) && clock_() - startedAt_ < kStartupTime;
 }
--- a/src/edge/edge_daemon_peers.cpp
+++ b/src/edge/edge_daemon_peers.cpp
@@ -1,5 +1,4 @@
-// The part of `EdgeDaemon` that deals with other nodes: announcements, probes, who takes which
-// work.
+// The part of `EdgeDaemon` that deals with other nodes: announcements, probes, load exchange.
 #include <algorithm>
 #include <utility>
 
@@ -10,24 +9,25 @@
 namespace gorsetrail::edge {
 namespace {
 
-/// Between two reads of the replicas' registrations: 250 reads a second at a zone's reader.
+/// The pause between two reads of the replicas is the larger of the minimum and this time per
+/// member of the zone, which bounds the reads per second at the zone's reader.
 constexpr Duration kMinimumReplicaPause = milliseconds(400);
 constexpr Duration kReplicaPausePerMember = milliseconds(4);
-/// Between two reads of the members: 100 a second at a zone's reader. Probes tell of an end sooner.
+/// Pause between two reads of the members, per member of the zone. Probes report failures sooner.
 constexpr Duration kMemberPausePerMember = milliseconds(10);
-/// A node whose state is not announced yet looks again so soon; a fifth of the shortest heartbeat.
+/// Interval at which a node checks if its changed readiness can be announced.
 constexpr Duration kAnnounceCheckPeriod = milliseconds(200);
 constexpr Duration kLoadPeriod = milliseconds(100);
-/// A node that sends no requests walks its replicas so often, for those whose doubt or cold time
-/// ends.
+/// Interval at which a node without requests scans its replicas, to end doubtful and cold states.
 constexpr Duration kIdleLoadPeriod = seconds(1);
-/// Who takes clients changes with a node's end or start; clients learn of it within a second too.
+/// Lifetime of the cached list of nodes that serve clients.
 constexpr Duration kLoadPeersCacheTime = milliseconds(500);
-/// Otherwise the list is made from all members for each ledger call. Members change their state
-/// less often than this.
+/// Lifetime of the cached host candidates; otherwise each ledger call would rebuild the list from
+/// all members.
 constexpr Duration kLedgerHomesCacheTime = milliseconds(50);
 
-/// Of one look at all replicas: a zone's return changes a zone's replicas at once.
+/// Limit of log lines in one scan of the replicas: the return of a zone changes all its replicas at
+/// once.
 constexpr std::size_t kMaximumColdLines = 32;
 
 }  // namespace
@@ -40,7 +40,8 @@
   if (!succeeded(loads)) {
     return loads;
   }
-  constexpr std::uint16_t kProbePortOffset = 2;  // After store and ledger calls, and loads.
+  constexpr std::uint16_t kProbePortOffset =
+      2;  // Offset 0: store and ledger calls; 1: load digests.
   auto probes = peerMonitor_.listen(settings_.ip, settings_.firstInternalPort + kProbePortOffset);
   if (!succeeded(probes)) {
     return probes;
@@ -52,7 +53,8 @@
 void EdgeDaemon::onPeerState(const std::string& ip, membership::MemberState state) {
   const bool silent =
       state == membership::MemberState::Suspected || state == membership::MemberState::Dead;
-  // Every node hears of every silent one: in a fleet of 1,000 that starts, 60 lines a second.
+  // Logged as routine, because in a large starting fleet every node learns of many suspects per
+  // second.
   log_.routine(silent ? "peer_silent" : "peer_answers",
                {{"node", ip}, {"state", membership::memberStateName(state)}});
 }
@@ -63,7 +65,7 @@
 
 std::vector<std::string> EdgeDaemon::otherRelays(
     const logstore::PartitionAddress& partition) const {
-  // The text of a confined turn goes only through nodes of its region.
+  // The content of a turn confined to a region is relayed only through nodes of this region.
   const auto confinedTo = ledger::LedgerPartitions::confinedZoneOf(partition);
   std::vector<std::string> addresses;
   for (const MemberRecord& member : members_.liveMembers()) {
@@ -76,7 +78,8 @@
   if (!addresses.empty() || confinedTo) {
     return addresses;
   }
-  // Nobody is known yet. Ports are alike on all machines, so a seed's address tells the relay's.
+  // No member is known yet. All nodes use the same ports, so the relay address follows from the
+  // seed's address.
   for (const std::string& seed : settings_.seeds) {
     std::string relay =
         seed.substr(0, seed.rfind(':') + 1) + std::to_string(settings_.firstInternalPort);
@@ -130,10 +133,9 @@
                              announcementAggregators(), urgent);
 }
 
-// Before the members are listed nobody is known who would batch announcements, and each node would
-// append for itself every second: hundreds of them fill the partition, and the listings that would
-// end it wait behind the appends. A node that restarted is listed already; probes show that it
-// runs.
+// Announcements wait until the members have been listed. Before that no aggregator is known, and
+// hundreds of nodes that append individually would fill the partition and delay the listings. A
+// restarted node is still listed, and probes show that it is alive.
 void EdgeDaemon::announceLoop() {
   const bool ready = isReady();
   bool isReadinessAnnounced = announcedReady_ == ready;
@@ -147,7 +149,8 @@
                     [this] { announceLoop(); });
 }
 
-// All nodes of a zone ask its reader: the pauses grow with the zone, within what the bounds allow.
+// All nodes of a zone read through its reader, so the pauses grow with the zone, up to the limit
+// that the drain time allows.
 void EdgeDaemon::updateFollowerPauses() {
   const auto members = static_cast<Duration::rep>(members_.countServingIn(settings_.zone));
   const Duration longest = settings_.bounds.drain / 2;
@@ -156,8 +159,8 @@
   memberFollower_->setPause(std::max(kMemberPausePerMember * members, kMinimumMemberPause));
 }
 
-// Walking 10,000 replicas takes a millisecond and more, a tenth of what a node with 0.12 of a core
-// may use between two turns; a node that sends nothing has no load to tell and none to weigh.
+// Lets nodes without requests skip the frequent scans of all replicas, which are expensive in large
+// fleets; such a node has no load to report.
 bool EdgeDaemon::isUsingReplicas() {
   const std::uint64_t dispatches = context_.counters.dispatches;
   const bool sent = std::exchange(lastDispatchCount_, dispatches) != dispatches;
@@ -208,7 +211,7 @@
   std::size_t lines = 0;
   for (const routing::ColdReplicaChange& change : coldReplicas_.tend(replicas_.all(), clock_())) {
     if (++lines > kMaximumColdLines) {
-      continue;  // The gauge tells how many there are.
+      continue;  // The gauge still counts it.
     }
     log_.important(change.isCold ? "replica_cold" : "replica_warm",
                    {{"replica", change.id},
@@ -219,8 +222,7 @@
   logColdStateAvailability();
 }
 
-// What a node may send to replicas that may be cold depends on it: without this line nobody could
-// tell from the logs which nodes knew.
+// Logged because the rate that a node may send to possibly cold replicas depends on it.
 void EdgeDaemon::logColdStateAvailability() {
   const bool isKnown = coldReplicas_.isSure(clock_());
   if (coldReplicas_.limitedReplicas() == 0 || loggedColdKnown_ == isKnown) {
@@ -251,7 +253,7 @@
       if (member.clientAddress == settings_.listen.clients) {
         servesClients_ = true;
       } else if (!member.relayAddress.empty()) {
-        // Ports are alike on all machines: loads arrive one port above store calls.
+        // All nodes use the same ports; load digests arrive one port above store calls.
         const std::string& relay = member.relayAddress;
         peers.push_back(relay.substr(0, relay.rfind(':') + 1) +
                         std::to_string(settings_.firstInternalPort + 1));
@@ -261,8 +263,8 @@
   if (membersListed_) {
     ringMembers_ = members_.ringMembers();
   } else {
-    // By half a list this node could take itself for a cold replica's feeder, or owner, beside
-    // those that all others agree on.
+    // With an incomplete list this node could select itself as feeder or owner of a cold replica,
+    // in addition to the nodes that all others agree on.
     clientNodeAddresses_.clear();
   }
   return loadPeers_;
--- a/src/edge/edge_knobs.cpp
+++ b/src/edge/edge_knobs.cpp
@@ -5,7 +5,7 @@
 namespace gorsetrail::edge {
 namespace {
 
-/// A limit that is never reached.
+/// Disables a limit.
 constexpr double kNoLimit = 1e9;
 
 }  // namespace
@@ -15,7 +15,7 @@
 }
 
 double capacityOf(const EdgeSettings& settings) {
-  // From this link on the processor is what a home runs out of first: 1 ms for a turn of 100 KB.
+  // With a link of at least this bandwidth the CPU, not the link, limits a ledger host.
   constexpr double kReferenceLinkMegabitsPerSecond = 1000;
   const double link =
       std::min(1.0, settings.linkMegabitsPerSecond / kReferenceLinkMegabitsPerSecond);
@@ -36,8 +36,8 @@
 }
 
 std::uint64_t maximumUnreadBytesOf(const EdgeSettings& settings) {
-  // Caches of the log take a quarter, a resting process some 20 MB: of 88 MB, 11 for each of the
-  // listeners that callers and nodes use leave room for the requests under way.
+  // Leaves room for the ledger's cache, a quarter of the memory, and for the requests in flight
+  // when several listeners reach this limit.
   constexpr std::uint64_t kShareOfMemory = 8;
   return settings.memoryBytes / kShareOfMemory;
 }
@@ -95,7 +95,8 @@
 }
 
 TurnRetentionKnobs turnRetentionKnobsOf(const EdgeSettings& settings) {
-  // Turns are small beside caches of the log; 2.7 MB of 88 MB are some 130 turns of 20 KB.
+  // Retained turns are small compared with the ledger's cache; room for about a hundred turns on a
+  // small node.
   constexpr std::uint64_t kShareOfMemory = 32;
   TurnRetentionKnobs knobs;
   knobs.holdsEnds = settings.uses(Mechanism::TurnRetention);
--- a/src/edge/ledger_relay.cpp
+++ b/src/edge/ledger_relay.cpp
@@ -9,7 +9,7 @@
 
 constexpr unsigned kOk = 200;
 constexpr unsigned kBadRequest = 400;
-/// A node that takes no connection within this is passed over.
+/// A node that does not accept a connection within this time is skipped.
 constexpr Duration kConnectTimeLimit = milliseconds(250);
 
 }  // namespace
--- a/src/edge/load_exchange.cpp
+++ b/src/edge/load_exchange.cpp
@@ -11,8 +11,9 @@
 namespace {
 
 constexpr std::uint32_t kMaximumInFlight = UINT16_MAX;
+/// Failure counts are sent in fixed point, in sixteenths.
 constexpr double kFixedPointScale = 16.0;
-/// Troubles that have faded below this are not told.
+/// Decayed failure counts below this are not sent.
 constexpr double kMinimumFailureCount = 0.2;
 
 std::uint16_t toFixedPoint(double count) {
@@ -44,7 +45,7 @@
   const auto* const begin = reinterpret_cast<const std::uint8_t*>(bytes.data());
   flatbuffers::Verifier verifier(begin, bytes.size());
   if (!fbs::VerifyLoadDigestBuffer(verifier)) {
-    return Error{ErrorKind::InvalidFrame, "load digest", "the bytes are no load digest",
+    return Error{ErrorKind::InvalidFrame, "load digest", "the bytes are not a valid load digest",
                  "run the same version on every node"};
   }
   const fbs::LoadDigest* const read = fbs::GetLoadDigest(begin);
@@ -128,7 +129,7 @@
                                      const std::string& datagram) {
   const std::size_t count = std::min(peers.size(), limit);
   for (std::size_t index = 0; index < count; ++index) {
-    // Draws without replacement: the chosen one changes places with the first not yet chosen.
+    // Random selection without replacement (partial Fisher-Yates shuffle).
     std::swap(peers[index], peers[index + random_.below(peers.size() - index)]);
     socket_.send(peers[index], datagram);
   }
--- a/src/edge/member_announcer.cpp
+++ b/src/edge/member_announcer.cpp
@@ -56,7 +56,8 @@
 void MemberAnnouncer::aggregate(logstore::AppendRequest request,
                                 logstore::StoreCallback<logstore::AppendReply> callback) {
   if (request.records.size() != 1) {
-    callback(logstore::StoreError{logstore::StoreFault::Rejected, "one record is expected", 0});
+    callback(logstore::StoreError{logstore::StoreFault::Rejected,
+                                  "an announcement must have exactly one record", 0});
     return;
   }
   batcher_.append(
--- a/src/edge/member_table.cpp
+++ b/src/edge/member_table.cpp
@@ -11,11 +11,11 @@
 namespace gorsetrail::edge {
 namespace {
 
-/// Processors; far more than a machine has. Sums over the largest fleet stay exact.
+/// In CPU cores. An upper limit that keeps sums over the largest fleet exact.
 constexpr double kMaximumCapacity = 1e6;
 
-/// \return the field that no node writes like this; nothing when all are right. A capacity that is
-/// no number has no place in an order, and an address that is none would be handed to clients.
+/// \return the first invalid field, or nothing. A capacity that is NaN would break sorting, and an
+/// invalid address would be passed to clients.
 std::optional<std::string_view> faultOf(const MemberRecord& record) {
   if (!isName(record.nodeName)) {
     return "node_name";
@@ -29,7 +29,7 @@
   if (!record.relayAddress.empty() && !http::isUsableAddress(record.relayAddress)) {
     return "relay_address";
   }
-  // Also false for what is not a number.
+  // Also false for NaN.
   const bool isCapacity = record.capacity >= 0 && record.capacity <= kMaximumCapacity;
   return isCapacity ? std::nullopt : std::optional<std::string_view>("capacity");
 }
@@ -51,8 +51,9 @@
   const auto* const begin = reinterpret_cast<const std::uint8_t*>(bytes.data());
   flatbuffers::Verifier verifier(begin, bytes.size());
   if (!fbs::VerifyMemberRecordBuffer(verifier)) {
-    return Error{ErrorKind::InvalidFrame, "member record", "the bytes are no member record",
-                 "skip it; look for another writer of this topic"};
+    return Error{ErrorKind::InvalidFrame, "member record",
+                 "the bytes are not a valid member record",
+                 "the record is skipped; look for another writer of this topic"};
   }
   const fbs::MemberRecord* const read = fbs::GetMemberRecord(begin);
   MemberRecord record;
@@ -65,7 +66,7 @@
   record.capacity = read->capacity();
   if (const auto fault = faultOf(record)) {
     return Error{ErrorKind::InvalidFrame, "member record." + std::string(*fault),
-                 "no node writes such a value", "look for another writer of this topic"};
+                 "the value is malformed or out of range", "look for another writer of this topic"};
   }
   return record;
 }
@@ -180,7 +181,7 @@
   }
   Members named;
   for (const auto& [distance, members] : byDistance) {
-    // Suspects are few, and most of them do not answer.
+    // All suspects are added, because they are few and most do not answer.
     if (suspects || named.size() < knobs_.minimumNearbyNodes) {
       named.insert(named.end(), members.begin(), members.end());
     }
--- a/src/edge/peer_monitor.cpp
+++ b/src/edge/peer_monitor.cpp
@@ -11,7 +11,7 @@
 
 using boost::asio::ip::make_address_v4;
 
-/// \return the node that an IPv4 address names; nothing for any other text.
+/// \return the node id for an IPv4 address; nothing for other text.
 std::optional<NodeId> nodeOf(const std::string& ip) {
   boost::system::error_code error;
   const auto address = make_address_v4(ip, error);
@@ -48,8 +48,8 @@
 Result<Success> PeerMonitor::listen(const std::string& ip, std::uint16_t port) {
   const std::optional<NodeId> self = nodeOf(ip);
   if (!self) {
-    return Error{ErrorKind::InvalidSettings, "own address " + ip, "it is not an IPv4 address",
-                 "set the node's IPv4 address"};
+    return Error{ErrorKind::InvalidSettings, "own address " + ip,
+                 "the address must be an IPv4 address", "set the node's IPv4 address"};
   }
   auto listening = socket_.listen(ip + ":" + std::to_string(port));
   if (!succeeded(listening)) {
@@ -65,8 +65,8 @@
 void PeerMonitor::watch(const std::string& ip) {
   const std::optional<NodeId> node = nodeOf(ip);
   if (detector_ && node) {
-    // A node for which there is no room is not probed and so never silent: its heartbeats in the
-    // store still tell of its end.
+    // If the detector is full, the node is not probed and never suspected; missing heartbeats in
+    // the store still show its failure.
     static_cast<void>(detector_->addMember({*node, {}, ip, {}}));
   }
 }
@@ -88,7 +88,7 @@
 void PeerMonitor::onDatagram(const DatagramSocket::Endpoint& sender, std::string_view bytes) {
   auto message = membership::decodeMembershipMessage(bytes);
   if (!succeeded(message) || !sender.address().is_v4()) {
-    return;  // Not from a node of this fleet; a lost datagram does the same harm.
+    return;  // Ignored: not from a node of this fleet, or damaged.
   }
   const NodeId from(sender.address().to_v4().to_uint());
   detector_->onMembershipMessage(from, valueOf(message), clock_());
@@ -111,7 +111,7 @@
                                  update.state == membership::MemberState::Dead;
   const bool changed =
       isSuspectedOrDead ? suspectedOrDead_.insert(ip).second : suspectedOrDead_.erase(ip) > 0;
-  // A suspect that is declared dead is worth a line too; a node that is met first is not.
+  // The transition from suspected to dead is reported too; a first contact is not.
   if (changed || update.state == membership::MemberState::Dead) {
     onStateChanged_(ip, update.state);
   }
--- a/src/edge/quota_exchange.cpp
+++ b/src/edge/quota_exchange.cpp
@@ -5,14 +5,14 @@
 namespace gorsetrail::edge {
 namespace {
 
-/// Between two looks at what is due without waiting requests; a third of a lend round.
+/// Timer period while no request waits for tokens.
 constexpr Duration kTickPeriod = milliseconds(50);
-/// While requests wait for tokens; a fifth of the time limit of a reply.
+/// Timer period while requests wait for tokens.
 constexpr Duration kWaitingTickPeriod = milliseconds(10);
-/// Coordinators change with a node's end or start, which probes tell a second later; choosing among
-/// all members for each request would cost more than asking.
+/// Lifetime of cached coordinators; selecting them among all members for each request would be too
+/// expensive.
 constexpr Duration kCoordinatorsCacheTime = milliseconds(50);
-/// Names the partitions in the rendezvous hash.
+/// Topic name of quota partitions in the rendezvous hash.
 constexpr char kQuotaTopic[] = "quota";
 
 }  // namespace
@@ -62,7 +62,7 @@
 void QuotaExchange::admit(const tenant::Tenant& tenant, quota::ProgramStage stage,
                           Callback callback) {
   if (!service_) {
-    // Without internal ports there is one node alone: nobody shares the limit with it.
+    // Without internal ports this is the only node, so the limit is not shared.
     callback({quota::QuotaVerdict::Granted, Duration::zero()});
     return;
   }
--- a/src/edge/reader_election.cpp
+++ b/src/edge/reader_election.cpp
@@ -7,7 +7,8 @@
 
 namespace gorsetrail::edge {
 
-// Close seeds give close first numbers: hashed with the address, nodes do not claim together.
+// Consecutive seeds yield similar first random numbers; hashing them with the address spreads the
+// claims of the nodes.
 ReaderElection::ReaderElection(std::string ownAddress, double capacity, ReaderElectionKnobs knobs,
                                std::uint64_t seed)
     : ownAddress_(std::move(ownAddress)),
@@ -69,9 +70,8 @@
   }
 }
 
-// A reader that was cut off after its claim can neither list the topics nor take the claim back:
-// its zone would wait for as long as that lasts. Whoever lists the claims reaches the store, so it
-// may do better.
+// A reader that lost the store after its claim can neither list the topics nor withdraw the claim.
+// A node that can list the claims reaches the store and may take over.
 void ReaderElection::onNoAnswer(const std::string& address, Instant now) {
   if (address != reader_ || isReader_) {
     return;
--- a/src/edge/shared_topic_store.cpp
+++ b/src/edge/shared_topic_store.cpp
@@ -14,7 +14,8 @@
   return request;
 }
 
-/// The reader may have to send the same page to a whole zone at once: the caller's limit holds.
+/// Keeps the caller's time limit, because the reader may send the same page to a whole zone at
+/// once.
 logstore::NewestRequest toReaderRequest(logstore::NewestRequest request, Duration /*timeLimit*/) {
   return request;
 }
@@ -59,14 +60,14 @@
   direct_.newest(std::move(request), std::move(callback));
 }
 
-/// One call on its way through the zone's readers.
+/// A pending call and the readers to try.
 template <class Request, class Reply>
 struct SharedTopicStore::Call {
   Request request;
   logstore::StoreCallback<Reply> callback;
-  std::vector<std::string> readers;  ///< In the order they are asked.
+  std::vector<std::string> readers;  ///< In the order in which they are tried.
   std::size_t nextReader = 0;
-  /// What a reader said that lives and has no answer.
+  /// Error of a reader that was reached but could not answer.
   std::optional<logstore::StoreError> readerError;
 };
 
@@ -122,9 +123,9 @@
 void SharedTopicStore::askNext(const std::shared_ptr<Call<Request, Reply>>& call) {
   if (call->nextReader == call->readers.size()) {
     if (call->readerError) {
-      // The claimed reader is gone, and who was asked in its place has not listed the topic.
-      const bool isUnlisted = call->readerError->fault == logstore::StoreFault::Busy;
-      if (isUnlisted && sources_.claimedReader().empty()) {
+      // The claimed reader is unreachable, and the other readers have not listed the topic.
+      const bool hasNotListed = call->readerError->fault == logstore::StoreFault::Busy;
+      if (hasNotListed && sources_.claimedReader().empty()) {
         sources_.onNoReader();
       }
       call->callback(*call->readerError);
@@ -136,7 +137,7 @@
       return;
     }
     call->callback(logstore::StoreError{logstore::StoreFault::NoAnswer,
-                                        "no reader of this zone is reached", 0});
+                                        "no topic reader of this zone is reachable", 0});
     return;
   }
   const std::string reader = call->readers[call->nextReader];
@@ -158,7 +159,7 @@
       });
 }
 
-// A reader's copy comes from this very listing: it goes to the store, for all others of the zone.
+// The listing goes to the store, because it fills the copy from which this node serves its zone.
 void SharedTopicStore::askSelf(const std::shared_ptr<ListingCall>& call) {
   callDirect(std::move(call->request), std::move(call->callback));
 }
@@ -176,7 +177,8 @@
   }
   const auto* const error = std::get_if<logstore::StoreError>(&*reply);
   if (error == nullptr || error->fault == logstore::StoreFault::Compacted) {
-    // A reader whose claim another one took over stops reading for itself.
+    // This node is not recorded, so that it stops to read directly once another claim replaces its
+    // own.
     if (reader != ownAddress_) {
       lastGoodReaders_[call->request.partition] = reader;
     }
@@ -190,7 +192,8 @@
   if (error->fault == logstore::StoreFault::Busy) {
     sources_.onNoAnswer(reader);
   }
-  // The follower lists anew only when nobody keeps what it missed.
+  // `NotKept` is returned only if all readers report it, because it makes the follower list the
+  // topic again.
   if (!call->readerError || call->readerError->fault == logstore::StoreFault::NotKept) {
     call->readerError = *error;
   }
--- a/src/edge/store_relay.cpp
+++ b/src/edge/store_relay.cpp
@@ -13,7 +13,7 @@
 constexpr unsigned kBadRequest = 400;
 constexpr char kRelayPath[] = "/store-call";
 
-/// Replies once; shared, since a callback must be copyable.
+/// Shared because callbacks must be copyable; replies once.
 using SharedWriter = std::shared_ptr<http::ResponseWriter>;
 
 template <class Reply>
@@ -86,7 +86,7 @@
   http::Request request;
   request.method = "POST";
   request.target = kRelayPath;
-  // Without another node the address is empty, and the client reports that nothing was sent.
+  // If there is no relay, the address is empty and the client reports that nothing was sent.
   request.address = relay;
   request.body = logstore::encodeStoreCall(call);
   request.timeLimit = timeLimit;
--- a/src/edge/topic_readers.cpp
+++ b/src/edge/topic_readers.cpp
@@ -49,7 +49,7 @@
                     return;
                   }
                   backoff_ = knobs_.initialBackoff;
-                  // A claim that cannot be read is none: the next one takes its place.
+                  // An unreadable claim is ignored; the next claim replaces it.
                   std::string address;
                   for (const logstore::KeyedItem& item : page->items) {
                     const auto claim = decodeMemberRecord(item.value);
--- a/src/edge/unreadable_records.cpp
+++ b/src/edge/unreadable_records.cpp
@@ -12,7 +12,7 @@
     state.linesInWindow = 0;
   }
   const bool hasRoom = state.loggedKeys.size() < knobs_.maximumKeys;
-  if (state.linesInWindow >= knobs_.linesPerWindow || !hasRoom ||
+  if (state.linesInWindow >= knobs_.maximumLinesPerWindow || !hasRoom ||
       !state.loggedKeys.insert(key).second) {
     return false;
   }
--- a/src/edge/unreadable_records.h
+++ b/src/edge/unreadable_records.h
@@ -21,7 +21,7 @@
 struct UnreadableRecordsKnobs {
   /// Limit of log lines for one kind within `window`. Enough to show that one writer damages many
   /// records.
-  std::uint32_t linesPerWindow = 10;
+  std::uint32_t maximumLinesPerWindow = 10;
   Duration window = seconds(10);
   /// Limit of remembered keys for one kind. Records of further keys are counted but not logged.
   std::size_t maximumKeys = 1000;
--- a/tests/edge/fake_peers.h
+++ b/tests/edge/fake_peers.h
@@ -1,4 +1,4 @@
-/// \file Other nodes as an HTTP client sees them, without a network.
+/// \file A fake HTTP client that answers as other nodes, without a network.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,8 @@
   void cancel() override {}
 };
 
-/// Nodes that answer at once; some of them do not reach the store either.
+/// Answers store calls immediately. By default every node appends successfully; the sets select
+/// other behavior by address.
 class FakePeers final : public http::HttpClient {
  public:
   http::RequestHandlePtr send(http::Request request, http::ResponseHandler handler) override {
@@ -49,11 +50,11 @@
   }
 
   std::map<std::string, int> calls;
-  std::set<std::string> readsHere;    ///< Answer reads.
-  std::set<std::string> listsHere;    ///< Answer listings.
-  std::set<std::string> cutOff;       ///< Answer that the store does not.
-  std::set<std::string> unlisted;     ///< Answer that they have no copy of the topic.
-  std::set<std::string> unreachable;  ///< Take no connection.
+  std::set<std::string> readsHere;    ///< Nodes that answer reads.
+  std::set<std::string> listsHere;    ///< Nodes that answer listings.
+  std::set<std::string> cutOff;       ///< Nodes that report that the store does not answer.
+  std::set<std::string> unlisted;     ///< Nodes that have not listed the topic.
+  std::set<std::string> unreachable;  ///< Nodes that refuse connections.
 };
 
 }  // namespace gorsetrail::edge
--- a/tests/edge/file_watcher_test.cpp
+++ b/tests/edge/file_watcher_test.cpp
@@ -1,4 +1,4 @@
-// A changed file is noticed without a signal; an unfinished one is not taken.
+// Guards against missed file changes and against reports of half-written files.
 #include "edge/file_watcher.h"
 
 #include <cstdio>
@@ -6,7 +6,7 @@
 #include <memory>
 
 #include "logstore/fake_log_store.h"
-// CppUTest redefines `new`: it comes after the standard headers.
+// Include after the standard headers, because CppUTest redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 using namespace gorsetrail;
@@ -15,16 +15,16 @@
 TEST_GROUP(FileWatcher) {
   const std::string path = "watched-by-file-watcher-test.toml";
   logstore::FakeTimers timers;
-  std::string told;
-  int times = 0;
+  std::string reported;
+  int reportCount = 0;
   std::shared_ptr<FileWatcher> watcher;
 
   void setup() override {
     write("one");
     watcher =
         std::make_shared<FileWatcher>(timers, path, seconds(2), [this](const std::string& content) {
-          told = content;
-          ++times;
+          reported = content;
+          ++reportCount;
         });
     watcher->start("one");
   }
@@ -35,34 +35,34 @@
   }
 };
 
-TEST(FileWatcher, tellsAChangeOnce) {
+TEST(FileWatcher, reportsAChangeOnce) {
   timers.advance(seconds(10));
-  LONGS_EQUAL(0, times);
+  LONGS_EQUAL(0, reportCount);
   write("two");
   timers.advance(seconds(10));
-  LONGS_EQUAL(1, times);
-  STRCMP_EQUAL("two", told.c_str());
+  LONGS_EQUAL(1, reportCount);
+  STRCMP_EQUAL("two", reported.c_str());
 }
 
-TEST(FileWatcher, looksAtOnceWhenAsked) {
+TEST(FileWatcher, checksImmediatelyOnDemand) {
   write("two");
   watcher->check();
-  LONGS_EQUAL(1, times);
+  LONGS_EQUAL(1, reportCount);
 }
 
-TEST(FileWatcher, waitsForAFileThatIsBeingWritten) {
+TEST(FileWatcher, ignoresAnEmptyFileDuringAWrite) {
   write("");
   timers.advance(seconds(4));
-  LONGS_EQUAL(0, times);
+  LONGS_EQUAL(0, reportCount);
   write("two");
   timers.advance(seconds(4));
-  LONGS_EQUAL(1, times);
+  LONGS_EQUAL(1, reportCount);
 }
 
-// The settings are read, then the node starts to listen, and only then the file is watched.
-TEST(FileWatcher, tellsAChangeThatWasMadeBeforeItBegan) {
+// Guards against losing a change between the first read of the settings and the start of polling.
+TEST(FileWatcher, reportsAChangeMadeBeforeStart) {
   write("two");
   watcher->start("one");
-  LONGS_EQUAL(1, times);
-  STRCMP_EQUAL("two", told.c_str());
+  LONGS_EQUAL(1, reportCount);
+  STRCMP_EQUAL("two", reported.c_str());
 }
--- a/tests/edge/fleet_start_test.cpp
+++ b/tests/edge/fleet_start_test.cpp
@@ -1,6 +1,5 @@
-// All nodes of a fleet start at once before a store with real rates. Each node that read the topics
-// for itself would take more from the store than it sends; through readers the fleet is ready
-// within seconds, and stays so.
+// Guards against overload of the store when all nodes of a fleet start together: the fleet must
+// become ready within seconds, and stay ready, by reading through one node of each zone.
 #include <algorithm>
 #include <map>
 #include <memory>
@@ -13,7 +12,7 @@
 #include "logstore/keyed_topic_follower.h"
 #include "logstore/persistent_store.h"
 #include "logstore/store_message.h"
-// CppUTest redefines `new`: it comes after the standard headers.
+// Include after the standard headers, because CppUTest redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 using namespace gorsetrail;
@@ -27,17 +26,17 @@
 constexpr int kReplicas = 100;
 constexpr Duration kHeartbeat = seconds(1);
 constexpr std::size_t kRegistrationBytes = 3000;
-/// The replicas write 0.3 MB/s: read by each of 120 nodes it makes 36 MB/s.
+/// Far below what direct reads by all nodes would need; the replicas write 0.3 MB/s.
 constexpr double kStoreBytesPerSecond = 10e6;
 constexpr std::size_t kPageItems = 50;
 const logstore::PartitionAddress kReplicaPartition{"keyed.replicas", 0};
 const logstore::PartitionAddress kClaimPartition{"keyed.readers", 0};
 
-/// A store whose answers share a bandwidth and whose partitions take their appends in turn. What it
-/// sends too late is sent all the same, and lost on the caller.
-class RatedStore final : public logstore::LogStore {
+/// A store with limited bandwidth and sequential appends. Late answers still use bandwidth,
+/// although the caller has given up.
+class LimitedBandwidthStore final : public logstore::LogStore {
  public:
-  RatedStore(logstore::FakeTimers& timers, double bytesPerSecond)
+  LimitedBandwidthStore(logstore::FakeTimers& timers, double bytesPerSecond)
       : timers_(timers), bytesPerSecond_(bytesPerSecond) {}
 
   void write(const logstore::PartitionAddress& partition, const std::string& key,
@@ -119,10 +118,11 @@
   Instant appendsEnd_;
 };
 
-/// One node's way to the store.
-class WayToStore final : public logstore::LogStore {
+/// One node's connection to the store, which can be cut.
+class StoreConnection final : public logstore::LogStore {
  public:
-  WayToStore(logstore::FakeTimers& timers, RatedStore& store) : timers_(timers), store_(store) {}
+  StoreConnection(logstore::FakeTimers& timers, LimitedBandwidthStore& store)
+      : timers_(timers), store_(store) {}
 
   void append(logstore::AppendRequest request,
               logstore::StoreCallback<logstore::AppendReply> callback) override {
@@ -160,12 +160,12 @@
   }
 
   logstore::FakeTimers& timers_;
-  RatedStore& store_;
+  LimitedBandwidthStore& store_;
 };
 
 class StartingNode;
 
-/// Carries store calls between nodes; a node's link sends one reply after the other.
+/// Transports store calls between nodes; each node's link sends one reply after the other.
 class NodeNetwork final : public http::HttpClient {
  public:
   explicit NodeNetwork(logstore::FakeTimers& timers) : timers_(timers) {}
@@ -187,10 +187,10 @@
   logstore::FakeTimers& timers_;
 };
 
-/// What of an edge node follows the replicas' registrations.
+/// The parts of an edge node that follow the replicas' registrations.
 class StartingNode {
  public:
-  StartingNode(logstore::FakeTimers& timers, RatedStore& store, NodeNetwork& network,
+  StartingNode(logstore::FakeTimers& timers, LimitedBandwidthStore& store, NodeNetwork& network,
                const std::string& nodeAddress, const std::string& nodeZone, double capacity,
                bool usesReaders, std::uint64_t seed)
       : address(nodeAddress),
@@ -198,8 +198,8 @@
         linkBytesPerSecond(capacity > 0.1 ? 75e6 : 4e6),
         timers_(timers),
         clock_([&timers] { return timers.now; }),
-        wayToStore(timers, store),
-        store_(wayToStore, timers, clock_, {}, seed),
+        storeConnection(timers, store),
+        store_(storeConnection, timers, clock_, {}, seed),
         relay_(
             network, [](const logstore::PartitionAddress&) { return std::vector<std::string>(); },
             seed),
@@ -258,7 +258,7 @@
   logstore::ClockFunction clock_;
 
  public:
-  WayToStore wayToStore;
+  StoreConnection storeConnection;
 
  private:
   logstore::PersistentStore store_;
@@ -318,10 +318,10 @@
   }
 }
 
-/// A fleet that starts before a store with these rates.
+/// A fleet that starts with a store of the given bandwidth.
 struct Fleet {
   logstore::FakeTimers timers;
-  RatedStore store;
+  LimitedBandwidthStore store;
   NodeNetwork network{timers};
   std::vector<std::unique_ptr<StartingNode>> nodes;
   int written = 0;
@@ -341,7 +341,7 @@
       }
     }
   }
-  /// Replicas write in turn, a tenth of them at a time.
+  /// Writes the heartbeats of a tenth of the replicas and schedules the next tenth.
   void writeHeartbeats() {
     constexpr int kParts = 10;
     for (int count = 0; count < kReplicas / kParts; ++count, ++written) {
@@ -376,26 +376,26 @@
   fleet.timers.advance(seconds(10));
   LONGS_EQUAL(kNodes, fleet.ready());
   LONGS_EQUAL(kZones, fleet.readers());
-  // One reader a zone takes what the replicas write, and nobody else takes any of it.
+  // Only one reader per zone reads from the store, at the rate at which the replicas write.
   constexpr double kWrittenPerSecond = kReplicas * kRegistrationBytes;
   CHECK(fleet.store.bytesSent - before < 1.2 * 10 * kZones * kWrittenPerSecond);
 }
 
-TEST(FleetStart, isReadyBeforeAStoreAtHalfItsRates) {
+TEST(FleetStart, isReadyWithAStoreAtHalfItsBandwidth) {
   Fleet fleet(kStoreBytesPerSecond / 2, true);
   fleet.timers.advance(seconds(10));
   CHECK(fleet.ready() >= kNodes * 9 / 10);
 }
 
-// The check that the others rest on: without readers the same fleet does not come up, since it
-// asks for three and a half times what the store sends.
-TEST(FleetStart, isNotReadyWhereEachNodeReadsForItself) {
+// Shows that the other tests need readers: with direct reads the fleet requests more than the
+// store's bandwidth.
+TEST(FleetStart, isNotReadyIfEachNodeReadsDirectly) {
   Fleet fleet(kStoreBytesPerSecond, false);
   fleet.timers.advance(seconds(20));
   CHECK(fleet.ready() < kNodes / 2);
 }
 
-TEST(FleetStart, goesOnWhenAllReadersAreLost) {
+TEST(FleetStart, recoversFromTheLossOfAllReaders) {
   Fleet fleet(kStoreBytesPerSecond, true);
   fleet.timers.advance(seconds(10));
   int lost = 0;
@@ -407,16 +407,16 @@
   CHECK(fleet.ready() >= (kNodes - lost) * 9 / 10);
 }
 
-// The first readers are cut off from the store right after their claims stand: they live, and can
-// neither list the topic nor take their claims back. Their zones waited for as long as that lasted.
-TEST(FleetStart, goesOnWhenReadersLiveAndCannotList) {
+// Guards against zones that wait for a reader that lost the store right after its claim and can
+// neither list the topic nor withdraw the claim.
+TEST(FleetStart, recoversFromReadersThatCannotReachTheStore) {
   Fleet fleet(kStoreBytesPerSecond, true);
   int cut = 0;
   while (fleet.readers() < kZones && cut == 0) {
     fleet.timers.advance(milliseconds(1));
     for (const auto& node : fleet.nodes) {
       if (node->readers.isReader() && !node->copy.isComplete()) {
-        node->wayToStore.isCut = true;
+        node->storeConnection.isCut = true;
         ++cut;
       }
     }
--- a/tests/edge/member_announcer_test.cpp
+++ b/tests/edge/member_announcer_test.cpp
@@ -1,4 +1,4 @@
-// Announcements of a zone share appends, never pile up, and do not depend on one aggregator.
+// Guards against announcements that overload the store or depend on a single aggregator.
 #include "edge/member_announcer.h"
 
 #include <CppUTest/TestHarness.h>
@@ -60,16 +60,16 @@
   }
 };
 
-TEST(MemberAnnouncer, aZonesAnnouncementsShareAnAppend) {
+TEST(MemberAnnouncer, batchesTheAnnouncementsOfAZoneIntoOneAppend) {
   announceAll();
   timers.advance(seconds(1));
   LONGS_EQUAL(kNodes, announced());
   LONGS_EQUAL(1, log.appends);
 }
 
-TEST(MemberAnnouncer, aSlowStoreGetsNoMoreAppendsThanItAnswers) {
+TEST(MemberAnnouncer, doesNotQueueAppendsAtASlowStore) {
   log.latency = milliseconds(1400);
-  for (int beat = 0; beat < 10; ++beat) {
+  for (int heartbeat = 0; heartbeat < 10; ++heartbeat) {
     announceAll();
     timers.advance(seconds(1));
   }
@@ -78,7 +78,7 @@
   CHECK(log.appends <= 10);
 }
 
-TEST(MemberAnnouncer, aDeadAggregatorDelaysNothing) {
+TEST(MemberAnnouncer, bypassesADeadAggregatorWithoutDelay) {
   announceAll();
   timers.advance(seconds(1));
   ledger::HomeSelector selector{{}};
@@ -90,18 +90,18 @@
   log.appends = 0;
   announceAll();
   timers.advance(seconds(1));
-  // The next aggregator, and the dead one, which still aggregates for itself.
+  // One append by the next aggregator, and one by the dead node, which still aggregates for itself.
   LONGS_EQUAL(2, log.appends);
 }
 
-TEST(MemberAnnouncer, anUrgentAnnouncementWaitsForNobody) {
+TEST(MemberAnnouncer, sendsAnUrgentAnnouncementImmediately) {
   announceAll();
   announceAll(true);
   timers.advance(milliseconds(10));
   LONGS_EQUAL(kNodes, announced());
 }
 
-TEST(MemberAnnouncer, goesOnAfterTheStoreWasSilent) {
+TEST(MemberAnnouncer, resumesAfterTheStoreDidNotAnswer) {
   log.fault = FakeFault::Silent;
   announceAll();
   timers.advance(seconds(4));
--- a/tests/edge/member_table_test.cpp
+++ b/tests/edge/member_table_test.cpp
@@ -1,4 +1,4 @@
-// Which nodes clients are sent to: alive, not leaving, of their zone when there are enough.
+// Guards against naming dead, leaving or distant nodes to clients.
 #include "edge/member_table.h"
 
 #include <algorithm>
@@ -11,13 +11,13 @@
 using namespace gorsetrail::edge;
 
 TEST_GROUP(MemberTable) {
-  std::set<std::string> silent;  ///< Keys of nodes that do not answer probes.
-  MemberTable table{{}, [this](const std::string& key) { return silent.contains(key); }};
+  std::set<std::string> suspected;  ///< Keys of nodes that the failure detector suspects.
+  MemberTable table{{}, [this](const std::string& key) { return suspected.contains(key); }};
   Instant now{seconds(100)};
-  MemberTable::IsSuspect nobody = [](const std::string&) { return false; };
+  MemberTable::IsSuspect noSuspects = [](const std::string&) { return false; };
 
-  void hear(const std::string& key, const std::string& zone, bool leaving = false,
-            double capacity = 1.0) {
+  void receiveRecord(const std::string& key, const std::string& zone, bool leaving = false,
+                     double capacity = 1.0) {
     MemberRecord record;
     record.nodeName = key;
     record.zone = zone;
@@ -30,48 +30,48 @@
   }
 };
 
-TEST(MemberTable, namesTheNodesOfTheZoneWhenTheyAreEnough) {
-  hear("a1", "a");
-  hear("a2", "a");
-  hear("b1", "b");
-  LONGS_EQUAL(2, table.clientAddresses("a", nobody).size());
-  LONGS_EQUAL(3, table.clientAddresses("b", nobody).size());
-  LONGS_EQUAL(3, table.clientAddresses("elsewhere", nobody).size());
+TEST(MemberTable, namesOnlyNodesOfTheZoneIfThereAreEnough) {
+  receiveRecord("a1", "a");
+  receiveRecord("a2", "a");
+  receiveRecord("b1", "b");
+  LONGS_EQUAL(2, table.clientAddresses("a", noSuspects).size());
+  LONGS_EQUAL(3, table.clientAddresses("b", noSuspects).size());
+  LONGS_EQUAL(3, table.clientAddresses("elsewhere", noSuspects).size());
 }
 
-TEST(MemberTable, namesTheRegionsNodesBeforeThoseOfOtherRegions) {
+TEST(MemberTable, prefersNodesOfTheRegionOverOtherRegions) {
   const routing::ZoneTable zones({{"wa", "west"}, {"wb", "west"}, {"ea", "east"}});
   const ClientLocation client{"wa", "west", &zones};
-  hear("wa1", "wa");
-  hear("wb1", "wb");
-  hear("ea1", "ea");
-  CHECK(table.clientAddresses(client, nobody) == (std::vector<std::string>{"wa1:1", "wb1:1"}));
-  hear("wb1", "wb", true);
-  LONGS_EQUAL(2, table.clientAddresses(client, nobody).size());  // One is not enough.
-  silent = {"wa1"};
-  CHECK(table.clientAddresses(client, nobody) == std::vector<std::string>{"ea1:1"});
+  receiveRecord("wa1", "wa");
+  receiveRecord("wb1", "wb");
+  receiveRecord("ea1", "ea");
+  CHECK(table.clientAddresses(client, noSuspects) == (std::vector<std::string>{"wa1:1", "wb1:1"}));
+  receiveRecord("wb1", "wb", true);
+  LONGS_EQUAL(2, table.clientAddresses(client, noSuspects).size());  // A single node is not enough.
+  suspected = {"wa1"};
+  CHECK(table.clientAddresses(client, noSuspects) == std::vector<std::string>{"ea1:1"});
 }
 
-TEST(MemberTable, namesNobodyOutsideTheClientsRegionAndTheAllowedOnes) {
+TEST(MemberTable, namesOnlyNodesOfTheClientsRegionAndAllowedOnes) {
   const routing::ZoneTable zones({{"wa", "west"}, {"ea", "east"}, {"na", "north"}});
   const routing::RegionSet allowed = {"east"};
-  hear("ea1", "ea");
-  hear("na1", "na");
+  receiveRecord("ea1", "ea");
+  receiveRecord("na1", "na");
   const ClientLocation west{"wa", "west", &zones, &allowed};
-  CHECK(table.clientAddresses(west, nobody) == std::vector<std::string>{"ea1:1"});
-  hear("wa1", "wa");
-  hear("wa2", "wa");
-  CHECK(table.clientAddresses(west, nobody) == (std::vector<std::string>{"wa1:1", "wa2:1"}));
-  silent = {"ea1", "wa1", "wa2"};
-  LONGS_EQUAL(0, table.clientAddresses(west, nobody).size());
+  CHECK(table.clientAddresses(west, noSuspects) == std::vector<std::string>{"ea1:1"});
+  receiveRecord("wa1", "wa");
+  receiveRecord("wa2", "wa");
+  CHECK(table.clientAddresses(west, noSuspects) == (std::vector<std::string>{"wa1:1", "wa2:1"}));
+  suspected = {"ea1", "wa1", "wa2"};
+  LONGS_EQUAL(0, table.clientAddresses(west, noSuspects).size());
   const ClientLocation elsewhere{"unknown", "north", &zones, &allowed};
-  CHECK(table.clientAddresses(elsewhere, nobody) == std::vector<std::string>{"na1:1"});
+  CHECK(table.clientAddresses(elsewhere, noSuspects) == std::vector<std::string>{"na1:1"});
 }
 
-TEST(MemberTable, namesSuspectsOnlyWhenNobodyElseIsLeft) {
-  hear("a1", "a");
-  hear("a2", "a");
-  hear("a3", "a");
+TEST(MemberTable, namesSuspectsOnlyIfThereIsNoOtherNode) {
+  receiveRecord("a1", "a");
+  receiveRecord("a2", "a");
+  receiveRecord("a3", "a");
   const auto isFrozen = [](const std::string& relay) { return relay == "a2:2"; };
   CHECK(table.clientAddresses("a", isFrozen) == (std::vector<std::string>{"a1:1", "a3:1"}));
   const auto isAny = [](const std::string&) { return true; };
@@ -80,94 +80,94 @@
 
 TEST(MemberTable, namesTheMostCapableNodesOfALargeZone) {
   for (int node = 0; node < 30; ++node) {
-    hear("weak" + std::to_string(node), "a", false, 0.01);
+    receiveRecord("weak" + std::to_string(node), "a", false, 0.01);
   }
   for (int node = 0; node < 9; ++node) {
-    hear("strong" + std::to_string(node), "a", false, 0.3);
+    receiveRecord("strong" + std::to_string(node), "a", false, 0.3);
   }
-  const auto addresses = table.clientAddresses("a", nobody);
+  const auto addresses = table.clientAddresses("a", noSuspects);
   LONGS_EQUAL(8, addresses.size());
   CHECK(std::all_of(addresses.begin(), addresses.end(),
                     [](const std::string& address) { return address.find("strong") == 0; }));
   LONGS_EQUAL(8, table.namedNodesIn("a").size());
-  silent = {"strong0", "strong1"};
-  const auto left = table.clientAddresses("a", nobody);
+  suspected = {"strong0", "strong1"};
+  const auto left = table.clientAddresses("a", noSuspects);
   LONGS_EQUAL(8, left.size());
   LONGS_EQUAL(1, std::count_if(left.begin(), left.end(), [](const std::string& address) {
                 return address.find("weak") == 0;
               }));
 }
 
-TEST(MemberTable, namesEnoughOfALargeZoneOfEqualNodes) {
+TEST(MemberTable, namesAShareOfALargeZoneOfEqualNodes) {
   for (int node = 0; node < 100; ++node) {
-    hear("n" + std::to_string(node), "a");
+    receiveRecord("n" + std::to_string(node), "a");
   }
-  LONGS_EQUAL(40, table.clientAddresses("a", nobody).size());
+  LONGS_EQUAL(40, table.clientAddresses("a", noSuspects).size());
 }
 
 TEST(MemberTable, doesNotNameLeavingNodes) {
-  hear("a1", "a");
-  hear("a2", "a");
-  hear("a2", "a", true);
-  LONGS_EQUAL(1, table.clientAddresses("a", nobody).size());
+  receiveRecord("a1", "a");
+  receiveRecord("a2", "a");
+  receiveRecord("a2", "a", true);
+  LONGS_EQUAL(1, table.clientAddresses("a", noSuspects).size());
   LONGS_EQUAL(1, table.countServingIn("a"));
   LONGS_EQUAL(2, table.liveMembers().size());
 }
 
-TEST(MemberTable, forgetsNodesThatAreSilentWhileOthersAreHeard) {
-  hear("a1", "a");
-  hear("a2", "a");
+TEST(MemberTable, expiresNodesWithoutRecordsWhileOthersWriteThem) {
+  receiveRecord("a1", "a");
+  receiveRecord("a2", "a");
   now += milliseconds(3301);
-  hear("a1", "a");
-  LONGS_EQUAL(1, table.clientAddresses("a", nobody).size());
+  receiveRecord("a1", "a");
+  LONGS_EQUAL(1, table.clientAddresses("a", noSuspects).size());
 }
 
-TEST(MemberTable, aNodeThatDoesNotAnswerProbesIsLeftOutBeforeItsRecordsEnd) {
-  hear("a1", "a");
-  hear("a2", "a");
-  hear("a3", "a");
-  silent = {"a2"};
-  CHECK(table.clientAddresses("a", nobody) == (std::vector<std::string>{"a1:1", "a3:1"}));
+TEST(MemberTable, excludesSuspectedNodesBeforeTheirRecordsExpire) {
+  receiveRecord("a1", "a");
+  receiveRecord("a2", "a");
+  receiveRecord("a3", "a");
+  suspected = {"a2"};
+  CHECK(table.clientAddresses("a", noSuspects) == (std::vector<std::string>{"a1:1", "a3:1"}));
   LONGS_EQUAL(2, table.liveMembers().size());
-  silent.clear();
-  LONGS_EQUAL(3, table.clientAddresses("a", nobody).size());
+  suspected.clear();
+  LONGS_EQUAL(3, table.clientAddresses("a", noSuspects).size());
 }
 
-TEST(MemberTable, dropsNodesThatAreLongGone) {
-  hear("a1", "a");
-  hear("a2", "a");
+TEST(MemberTable, removesNodesLongWithoutRecords) {
+  receiveRecord("a1", "a");
+  receiveRecord("a2", "a");
   now += seconds(599);
-  hear("a1", "a");
+  receiveRecord("a1", "a");
   LONGS_EQUAL(0, table.removeExpired().size());
   now += seconds(1);
-  hear("a1", "a");
+  receiveRecord("a1", "a");
   CHECK(table.removeExpired() == std::vector<std::string>{"a2"});
   CHECK(table.heartbeat() == seconds(1));
 }
 
-TEST(MemberTable, forgetsNobodyWhileNothingCanBeRead) {
-  hear("a1", "a");
-  hear("a2", "a");
+TEST(MemberTable, expiresNoNodeWhileTheStoreCannotBeRead) {
+  receiveRecord("a1", "a");
+  receiveRecord("a2", "a");
   now += seconds(60);
-  LONGS_EQUAL(2, table.clientAddresses("a", nobody).size());
+  LONGS_EQUAL(2, table.clientAddresses("a", noSuspects).size());
 }
 
-TEST(MemberTable, heartbeatsBecomeRarerInALargeFleet) {
-  hear("a1", "a");
+TEST(MemberTable, heartbeatIntervalGrowsWithTheFleet) {
+  receiveRecord("a1", "a");
   CHECK(table.heartbeat() == seconds(1));
   for (int node = 0; node < 299; ++node) {
-    hear("b" + std::to_string(node), "b");
+    receiveRecord("b" + std::to_string(node), "b");
   }
   CHECK(table.heartbeat() == seconds(5));
   now += seconds(16);
-  hear("a1", "a");
+  receiveRecord("a1", "a");
   LONGS_EQUAL(299, table.countServingIn("b"));
   now += seconds(1);
-  hear("a1", "a");
+  receiveRecord("a1", "a");
   LONGS_EQUAL(0, table.countServingIn("b"));
 }
 
-TEST(MemberTable, recordsKeepTheirFieldsAndBrokenOnesAreFound) {
+TEST(MemberTable, recordsRoundTripAndTruncatedOnesAreRejected) {
   const std::string bytes = encodeMemberRecord({"n", "z", "1.2.3.4:5", "1.2.3.4:6", true, 9});
   const auto record = decodeMemberRecord(bytes);
   STRCMP_EQUAL("1.2.3.4:6", valueOf(record).relayAddress.c_str());
@@ -176,7 +176,7 @@
   CHECK_FALSE(succeeded(decodeMemberRecord(bytes.substr(0, 10))));
 }
 
-TEST(MemberTable, recordsWithValuesThatNoNodeWritesAreRefusedAndTheFieldNamed) {
+TEST(MemberTable, recordsWithInvalidValuesAreRejectedWithTheField) {
   const MemberRecord whole{"n", "z", "1.2.3.4:5", "1.2.3.4:6", false, 9, 1.5};
   CHECK_TRUE(succeeded(decodeMemberRecord(encodeMemberRecord(whole))));
   struct Damage {
@@ -204,12 +204,13 @@
   }
 }
 
-// Owners of cold replicas are drawn by these weights, so all nodes must find the same ones.
-TEST(MemberTable, membersWeighByTheClientsThatAreSentToThemWhetherTheyLiveOrNot) {
+// Guards against different cold replica owners on different nodes: the weights must not depend on
+// liveness.
+TEST(MemberTable, ringWeightsFollowClientsAndIgnoreLiveness) {
   for (int number = 0; number < 20; ++number) {
-    hear("a" + std::to_string(number), "a", false, number < 4 ? 0.3 : 0.0036);
+    receiveRecord("a" + std::to_string(number), "a", false, number < 4 ? 0.3 : 0.0036);
   }
-  hear("b1", "b", false, 0.0036);
+  receiveRecord("b1", "b", false, 0.0036);
   const auto before = table.ringMembers();
   LONGS_EQUAL(21, before.size());
   const auto weightOf = [&before](const std::string& address) {
@@ -223,7 +224,7 @@
   LONGS_EQUAL(9, std::count_if(before.begin(), before.end(), [](const routing::RingMember& member) {
                 return member.weight > 0.5;
               }));
-  silent = {"a0", "a1"};
-  hear("a2", "a", true, 0.3);
+  suspected = {"a0", "a1"};
+  receiveRecord("a2", "a", true, 0.3);
   CHECK(before == table.ringMembers());
 }
--- a/tests/edge/nearest_nodes_test.cpp
+++ b/tests/edge/nearest_nodes_test.cpp
@@ -1,7 +1,7 @@
-// Who reads followed topics for a node: its zone, its region when the zone has nobody, then all.
+// Guards against selecting distant nodes while nearer ones exist.
 #include "edge/nearest_nodes.h"
 
-// CppUTest redefines `new`: it comes after the standard headers.
+// Include after the standard headers, because CppUTest redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 using namespace gorsetrail;
@@ -24,24 +24,24 @@
   }
 };
 
-TEST(NearestNodes, areThoseOfTheZone) {
+TEST(NearestNodes, prefersNodesOfTheZone) {
   STRCMP_EQUAL("n1 n5 ", nearTo("wa").c_str());
   STRCMP_EQUAL("n2 ", nearTo("wb").c_str());
 }
 
-TEST(NearestNodes, areThoseOfTheRegionWhereTheZoneHasNone) {
+TEST(NearestNodes, fallsBackToNodesOfTheRegion) {
   nodes = {{"n2", "wb", 1.0}, {"n3", "ea", 1.0}, {"n4", "na", 1.0}};
   STRCMP_EQUAL("n2 ", nearTo("wa").c_str());
 }
 
-TEST(NearestNodes, areAllWhereTheRegionHasNone) {
+TEST(NearestNodes, fallsBackToAllNodes) {
   nodes = {{"n3", "ea", 1.0}, {"n4", "na", 1.0}};
   STRCMP_EQUAL("n3 n4 ", nearTo("wa").c_str());
   nodes.clear();
   STRCMP_EQUAL("", nearTo("wa").c_str());
 }
 
-TEST(NearestNodes, withOneRegionAreAllOtherZonesWhereTheZoneHasNone) {
+TEST(NearestNodes, usesOtherZonesOfASingleRegion) {
   zones = routing::ZoneTable{};
   STRCMP_EQUAL("n1 n2 n3 n4 n5 ", nearTo("other").c_str());
 }
--- a/tests/edge/reader_election_test.cpp
+++ b/tests/edge/reader_election_test.cpp
@@ -1,4 +1,4 @@
-// Who reads for a zone when nobody knows any member.
+// Guards against zones without a topic reader, or with too many, while no member is known.
 #include "edge/reader_election.h"
 
 #include <CppUTest/TestHarness.h>
@@ -16,7 +16,7 @@
 constexpr double kNarrow = 0.01;  // 0.12 of a core, 30 Mbit/s.
 constexpr Duration kCallTime = milliseconds(10);
 
-/// Nodes of one zone before one claim; each call takes `kCallTime`.
+/// Nodes of one zone that share one claim; each call takes `kCallTime`.
 struct Zone {
   struct Node {
     std::string address;
@@ -38,7 +38,7 @@
                        {}});
     }
   }
-  void turn(Node& node) {
+  void runNextStep(Node& node) {
     if (now < node.busyUntil) {
       return;
     }
@@ -59,7 +59,7 @@
   void run(Duration span) {
     for (const Instant end = now + span; now < end; now += milliseconds(5)) {
       for (Node& node : nodes) {
-        turn(node);
+        runNextStep(node);
       }
     }
   }
@@ -76,7 +76,7 @@
 
 TEST_GROUP(ReaderElection){};
 
-TEST(ReaderElection, ofAZoneThatStartsAtOnceACapableNodeReads) {
+TEST(ReaderElection, electsACapableNodeWhenAllNodesStartTogether) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Zone zone;
     zone.add(135, kNarrow, seed);
@@ -89,12 +89,12 @@
       CHECK_FALSE(node.election->reader(zone.now).empty());
     }
     zone.run(seconds(5));
-    LONGS_EQUAL(1, zone.readers());  // Those whose claim was replaced have noticed.
-    CHECK(zone.listings < 4 * 165);  // Twice a node, and the readers' reviews.
+    LONGS_EQUAL(1, zone.readers());  // Nodes whose claim was replaced have noticed it.
+    CHECK(zone.listings < 4 * 165);  // Two listings per node, and the reviews of the readers.
   }
 }
 
-TEST(ReaderElection, nodesThatAreAllNarrowHaveAReaderWithinTwoSeconds) {
+TEST(ReaderElection, electsAReaderAmongWeakNodesWithinTwoSeconds) {
   Zone zone;
   zone.add(40, kNarrow, 7);
   zone.run(seconds(2));
@@ -102,7 +102,7 @@
   CHECK(zone.claims >= 1 && zone.claims <= 6);
 }
 
-TEST(ReaderElection, aReaderThatRestartsReadsAgainAtOnce) {
+TEST(ReaderElection, aRestartedReaderResumesItsClaimImmediately) {
   ReaderElection restarted("n1", kWide, {}, 1);
   const Instant now(seconds(5));
   CHECK(restarted.next(now) == ReaderElection::Step::List);
@@ -111,7 +111,7 @@
   CHECK(restarted.next(now) == ReaderElection::Step::None);
 }
 
-TEST(ReaderElection, aReaderThatIsNotReachedIsReplaced) {
+TEST(ReaderElection, replacesAnUnreachableReader) {
   Zone zone;
   zone.claim = "gone";
   zone.add(20, kWide, 3);
@@ -128,7 +128,7 @@
   CHECK(zone.claim != "gone");
 }
 
-TEST(ReaderElection, aReaderThatComesBackIsAskedAgain) {
+TEST(ReaderElection, usesAReaderAgainAfterTheSuspicionTime) {
   ReaderElection election("own", kNarrow, {}, 1);
   Instant now(seconds(5));
   election.onListed("reader", now);
@@ -138,7 +138,7 @@
   STRCMP_EQUAL("reader", election.reader(now).c_str());
 }
 
-TEST(ReaderElection, aReaderThatLivesAndHasNoAnswerIsReplacedAfterItsTime) {
+TEST(ReaderElection, replacesAReaderThatCannotAnswerAfterATimeout) {
   Zone zone;
   zone.claim = "cut-off";
   zone.add(20, kWide, 3);
@@ -153,7 +153,7 @@
     allGetNoAnswer();
     zone.run(milliseconds(200));
   }
-  LONGS_EQUAL(0, zone.claims);  // It may be listing.
+  LONGS_EQUAL(0, zone.claims);  // The reader may still be listing.
   while (zone.now < from + seconds(7)) {
     allGetNoAnswer();
     zone.run(milliseconds(200));
@@ -162,7 +162,7 @@
   CHECK(zone.claim != "cut-off");
 }
 
-TEST(ReaderElection, aReaderThatAnswersNowAndThenIsKept) {
+TEST(ReaderElection, keepsAReaderThatAnswersOccasionally) {
   ReaderElection election("own", kNarrow, {}, 1);
   Instant now(seconds(5));
   election.onListed("reader", now);
@@ -175,23 +175,24 @@
   }
 }
 
-// A store that is slow for all: each reader that is passed over would have the next one begin anew.
-TEST(ReaderElection, eachReaderThatIsPassedOverGetsTheNextOneMoreTime) {
+// Guards against endless replacement of readers at a slow store, each of which would start its
+// listing again.
+TEST(ReaderElection, doublesTheTimeoutWithEachReplacedReader) {
   ReaderElection election("own", kNarrow, {}, 1);
   const Instant begin(seconds(5));
-  std::vector<std::int64_t> passedOverAt;
+  std::vector<std::int64_t> replacedAtSeconds;
   election.onListed("reader-0", begin);
   for (Instant now = begin; now < begin + seconds(100); now += milliseconds(500)) {
-    const std::string reader = "reader-" + std::to_string(passedOverAt.size());
+    const std::string reader = "reader-" + std::to_string(replacedAtSeconds.size());
     election.onNoAnswer(reader, now);
     if (election.reader(now).empty()) {
-      passedOverAt.push_back((now - begin) / seconds(1));
-      election.onListed("reader-" + std::to_string(passedOverAt.size()), now);
+      replacedAtSeconds.push_back((now - begin) / seconds(1));
+      election.onListed("reader-" + std::to_string(replacedAtSeconds.size()), now);
     }
   }
-  LONGS_EQUAL(4, passedOverAt.size());
-  LONGS_EQUAL(5, passedOverAt[0]);
-  LONGS_EQUAL(15, passedOverAt[1]);
-  LONGS_EQUAL(36, passedOverAt[2]);
-  LONGS_EQUAL(76, passedOverAt[3]);
+  LONGS_EQUAL(4, replacedAtSeconds.size());
+  LONGS_EQUAL(5, replacedAtSeconds[0]);
+  LONGS_EQUAL(15, replacedAtSeconds[1]);
+  LONGS_EQUAL(36, replacedAtSeconds[2]);
+  LONGS_EQUAL(76, replacedAtSeconds[3]);
 }
--- a/tests/edge/shared_topic_store_test.cpp
+++ b/tests/edge/shared_topic_store_test.cpp
@@ -1,9 +1,9 @@
-// Who reads a followed topic: the zone's readers, and nobody else the store.
+// Guards against nodes that read the store directly while their zone has a reader.
 #include "edge/shared_topic_store.h"
 
 #include "fake_peers.h"
 #include "logstore/fake_log_store.h"
-// CppUTest redefines `new`: it comes after the standard headers.
+// Include after the standard headers, because CppUTest redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 using namespace gorsetrail;
@@ -20,10 +20,10 @@
   FakePeers peers;
   std::vector<ledger::HomeCandidate> nodes = {{"r1", "z", 1.0}, {"r2", "z", 1.0}};
   std::string claimed;
-  std::vector<std::string> notReached;
-  std::vector<std::string> answered;
-  std::vector<std::string> withoutAnswer;
-  int electionsAsked = 0;
+  std::vector<std::string> unreachableReaders;
+  std::vector<std::string> readersThatAnswered;
+  std::vector<std::string> readersWithoutAnswer;
+  int electionsRequested = 0;
   std::size_t members = 0;
   RelayedStore relay{peers,
                      [](const logstore::PartitionAddress&) {
@@ -37,10 +37,16 @@
     made.candidates = [this] { return nodes; };
     made.claimedReader = [this] { return claimed; };
     made.isClaimedReader = [this] { return claimed == "own"; };
-    made.onUnreachable = [this](const std::string& address) { notReached.push_back(address); };
-    made.onAnswered = [this](const std::string& address) { answered.push_back(address); };
-    made.onNoAnswer = [this](const std::string& address) { withoutAnswer.push_back(address); };
-    made.onNoReader = [this] { ++electionsAsked; };
+    made.onUnreachable = [this](const std::string& address) {
+      unreachableReaders.push_back(address);
+    };
+    made.onAnswered = [this](const std::string& address) {
+      readersThatAnswered.push_back(address);
+    };
+    made.onNoAnswer = [this](const std::string& address) {
+      readersWithoutAnswer.push_back(address);
+    };
+    made.onNoReader = [this] { ++electionsRequested; };
     made.members = [this] { return members; };
     return made;
   }
@@ -67,7 +73,7 @@
   }
 };
 
-TEST(SharedTopicStore, asksTheZonesReader) {
+TEST(SharedTopicStore, readsThroughTheZonesReader) {
   peers.readsHere = {"r1", "r2"};
   STRCMP_EQUAL("record", std::get<ReadReply>(*read()).records.front().c_str());
   LONGS_EQUAL(0, log.reads);
@@ -81,11 +87,13 @@
   LONGS_EQUAL(1, peers.calls["r1"] + peers.calls["r2"]);
 }
 
-TEST(SharedTopicStore, staysWithTheReaderThatAnswers) {
+TEST(SharedTopicStore, keepsUsingTheReaderThatAnswers) {
   nodes = {{"r1", "z", 1.0}};
   peers.readsHere = {"r1", "r2"};
   read();
-  nodes = {{"r2", "z", 1.0}};  // A warm reader is not left for one that has to catch up.
+  nodes = {
+      {"r2", "z",
+       1.0}};  // A reader that answered is kept, because another one may have to catch up first.
   read();
   LONGS_EQUAL(2, peers.calls["r1"]);
   peers.unreachable = {"r1"};
@@ -93,42 +101,42 @@
   LONGS_EQUAL(1, peers.calls["r2"]);
 }
 
-TEST(SharedTopicStore, doesNotReadAroundReadersThatLiveAndGetNoAnswer) {
+TEST(SharedTopicStore, doesNotBypassReadersThatCannotReachTheStore) {
   peers.cutOff = {"r1", "r2"};
   CHECK(std::get<StoreError>(*read()).fault == logstore::StoreFault::NoAnswer);
   LONGS_EQUAL(0, log.reads);
   LONGS_EQUAL(2, peers.calls["r1"] + peers.calls["r2"]);
-  LONGS_EQUAL(0, electionsAsked);
+  LONGS_EQUAL(0, electionsRequested);
 }
 
-TEST(SharedTopicStore, asksTheSecondReaderWhenTheFirstIsNotReached) {
+TEST(SharedTopicStore, triesTheSecondReaderIfTheFirstIsUnreachable) {
   peers.unreachable = {"r1"};
   peers.readsHere = {"r2"};
   STRCMP_EQUAL("record", std::get<ReadReply>(*read()).records.front().c_str());
   LONGS_EQUAL(0, log.reads);
 }
 
-TEST(SharedTopicStore, asksTheClaimedReaderWhileNoMemberIsKnown) {
+TEST(SharedTopicStore, usesTheClaimedReaderWhileNoMemberIsKnown) {
   nodes.clear();
   claimed = "r3";
   peers.readsHere = {"r3"};
   STRCMP_EQUAL("record", std::get<ReadReply>(*read()).records.front().c_str());
 }
 
-TEST(SharedTopicStore, asksForAnotherReaderInsteadOfTheStoreWhenNoneIsReached) {
+TEST(SharedTopicStore, requestsAnElectionInsteadOfReadingDirectlyIfNoReaderIsReachable) {
   peers.unreachable = {"r1", "r2"};
   CHECK(std::get<StoreError>(*read()).fault == logstore::StoreFault::NoAnswer);
   LONGS_EQUAL(0, log.reads);
-  LONGS_EQUAL(2, notReached.size());
-  LONGS_EQUAL(1, electionsAsked);
+  LONGS_EQUAL(2, unreachableReaders.size());
+  LONGS_EQUAL(1, electionsRequested);
 }
 
-TEST(SharedTopicStore, readsTheStoreItselfWhereAllNodesCould) {
+TEST(SharedTopicStore, readsTheStoreDirectlyInASmallFleet) {
   peers.unreachable = {"r1", "r2"};
   members = 100;
   listOwn();
   CHECK(!std::get<ReadReply>(*read()).records.empty());
-  LONGS_EQUAL(1, electionsAsked);
+  LONGS_EQUAL(1, electionsRequested);
   copy.beginListing(1);
   for (int key = 0; key < 600; ++key) {
     copy.addListed({"k" + std::to_string(key), "v", 0});
@@ -138,7 +146,7 @@
   LONGS_EQUAL(1, log.reads);
 }
 
-TEST(SharedTopicStore, theClaimedReaderListsTheStoreAndThenReadsByItsGateway) {
+TEST(SharedTopicStore, listsTheStoreAndReadsThroughItsGatewayAsClaimedReader) {
   claimed = "own";
   STRCMP_EQUAL("stored", std::get<logstore::NewestReply>(*list()).items.front().value.c_str());
   listOwn();
@@ -147,34 +155,34 @@
   LONGS_EQUAL(0, peers.calls["r1"] + peers.calls["r2"]);
 }
 
-TEST(SharedTopicStore, readsByItsOwnGatewayWhereItIsTheReader) {
+TEST(SharedTopicStore, readsThroughItsGatewayAsHashedReader) {
   nodes = {{"own", "z", 1.0}};
   listOwn();
   LONGS_EQUAL(1, std::get<ReadReply>(*read()).records.size());
   LONGS_EQUAL(0, peers.calls["r1"] + peers.calls["r2"]);
 }
 
-TEST(SharedTopicStore, tellsOfAReaderThatLivesAndHasNotListedTheTopic) {
+TEST(SharedTopicStore, reportsAReaderThatHasNotListedTheTopic) {
   nodes.clear();
   claimed = "r3";
   peers.unlisted = {"r3"};
   CHECK(std::get<StoreError>(*read()).fault == logstore::StoreFault::Busy);
-  LONGS_EQUAL(1, withoutAnswer.size());
-  STRCMP_EQUAL("r3", withoutAnswer.front().c_str());
-  LONGS_EQUAL(0, electionsAsked);
+  LONGS_EQUAL(1, readersWithoutAnswer.size());
+  STRCMP_EQUAL("r3", readersWithoutAnswer.front().c_str());
+  LONGS_EQUAL(0, electionsRequested);
   peers.unlisted.clear();
   peers.readsHere = {"r3"};
   read();
-  LONGS_EQUAL(1, answered.size());
+  LONGS_EQUAL(1, readersThatAnswered.size());
 }
 
-// The reader of a start died before others had its copy.
-TEST(SharedTopicStore, asksForAnotherReaderWhereTheClaimedOneIsGoneAndNobodyElseHasListed) {
+// Guards against a zone without a reader after the claimed one died before others had a copy.
+TEST(SharedTopicStore, requestsAnElectionIfNoReachableReaderHasListed) {
   peers.unlisted = {"r1", "r2"};
   CHECK(std::get<StoreError>(*read()).fault == logstore::StoreFault::Busy);
-  LONGS_EQUAL(1, electionsAsked);
+  LONGS_EQUAL(1, electionsRequested);
   claimed = "r3";
   peers.readsHere = {"r3"};
   STRCMP_EQUAL("record", std::get<ReadReply>(*read()).records.front().c_str());
-  LONGS_EQUAL(1, electionsAsked);
+  LONGS_EQUAL(1, electionsRequested);
 }
--- a/tests/edge/store_relay_test.cpp
+++ b/tests/edge/store_relay_test.cpp
@@ -1,8 +1,8 @@
-// Which node a store call goes through when this one does not reach the store.
+// Guards against relaying store calls through nodes that do not reach the store.
 #include "edge/store_relay.h"
 
 #include "fake_peers.h"
-// CppUTest redefines `new`: it comes after the standard headers.
+// Include after the standard headers, because CppUTest redefines `new`.
 #include <CppUTest/TestHarness.h>
 
 using namespace gorsetrail;
@@ -21,7 +21,7 @@
                  });
     return done;
   }
-  int lost(int calls) {
+  int failedCalls(int calls) {
     int failures = 0;
     for (int call = 0; call < calls; ++call) {
       failures += append() ? 0 : 1;
@@ -30,25 +30,25 @@
   }
 };
 
-TEST(RelayedStore, staysWithANodeThatReachesTheStore) {
+TEST(RelayedStore, keepsUsingARelayThatReachesTheStore) {
   peers.cutOff = {"a"};
   peers.unreachable = {"b"};
-  lost(20);
-  LONGS_EQUAL(0, lost(100));
+  failedCalls(20);
+  LONGS_EQUAL(0, failedCalls(100));
 }
 
-TEST(RelayedStore, leavesANodeThatIsCutOffAndOneThatIsNoLongerListed) {
-  LONGS_EQUAL(0, lost(5));
+TEST(RelayedStore, replacesARelayThatIsCutOffOrNoLongerListed) {
+  LONGS_EQUAL(0, failedCalls(5));
   peers.cutOff = {"a", "b", "c"};
-  lost(40);
-  LONGS_EQUAL(0, lost(20));
+  failedCalls(40);
+  LONGS_EQUAL(0, failedCalls(20));
   relays = {"a", "b", "c"};
   peers.calls.clear();
-  lost(5);
+  failedCalls(5);
   LONGS_EQUAL(0, peers.calls["d"]);
 }
 
-TEST(RelayedStore, withoutAnotherNodeTheCallFails) {
+TEST(RelayedStore, failsWithoutAnyRelay) {
   relays.clear();
   peers.unreachable = {""};
   CHECK_FALSE(append());
--- a/tests/edge/unreadable_records_test.cpp
+++ b/tests/edge/unreadable_records_test.cpp
@@ -1,4 +1,4 @@
-// Lines about records that cannot be read: one for each key, bounded however many there are.
+// Guards against log floods caused by unreadable records.
 #include "edge/unreadable_records.h"
 
 #include <CppUTest/TestHarness.h>
@@ -13,9 +13,9 @@
   Instant now{seconds(100)};
 };
 
-TEST(UnreadableRecords, aKeyGetsOneLineUntilItIsReadableAgain) {
+TEST(UnreadableRecords, logsAKeyOnceUntilItIsReadableAgain) {
   CHECK_TRUE(records.onUnreadable(kReplica, "i-1", now));
-  for (int beat = 0; beat < 100; ++beat) {
+  for (int heartbeat = 0; heartbeat < 100; ++heartbeat) {
     now += seconds(2);
     CHECK_FALSE(records.onUnreadable(kReplica, "i-1", now));
   }
@@ -24,7 +24,7 @@
   CHECK_TRUE(records.onUnreadable(kReplica, "i-1", now));
 }
 
-TEST(UnreadableRecords, kindsAndKeysAreToldApart) {
+TEST(UnreadableRecords, tracksKindsAndKeysSeparately) {
   CHECK_TRUE(records.onUnreadable(kReplica, "i-1", now));
   CHECK_TRUE(records.onUnreadable(kReplica, "i-2", now));
   CHECK_TRUE(records.onUnreadable(RecordKind::Member, "i-1", now));
@@ -33,37 +33,37 @@
   LONGS_EQUAL(0, records.count(RecordKind::Operator));
 }
 
-TEST(UnreadableRecords, aWindowHasNoMoreLinesThanAllowedAndTheNextTellsTheRest) {
+TEST(UnreadableRecords, limitsLinesPerWindowAndLogsTheRestInTheNext) {
   std::uint32_t lines = 0;
   for (int key = 0; key < 25; ++key) {
     lines += records.onUnreadable(kReplica, std::to_string(key), now) ? 1 : 0;
   }
-  LONGS_EQUAL(knobs.linesPerWindow, lines);
+  LONGS_EQUAL(knobs.maximumLinesPerWindow, lines);
   now += knobs.window;
   for (int key = 0; key < 25; ++key) {
     lines += records.onUnreadable(kReplica, std::to_string(key), now) ? 1 : 0;
   }
-  LONGS_EQUAL(2 * knobs.linesPerWindow, lines);
+  LONGS_EQUAL(2 * knobs.maximumLinesPerWindow, lines);
   LONGS_EQUAL(50, records.count(kReplica));
 }
 
-TEST(UnreadableRecords, aKeyThatComesAndGoesStaysWithinTheWindow) {
+TEST(UnreadableRecords, limitsLinesOfAFlappingKey) {
   std::uint32_t lines = 0;
   for (int change = 0; change < 1000; ++change) {
     lines += records.onUnreadable(kReplica, "i-1", now) ? 1 : 0;
     records.onReadable(kReplica, "i-1");
   }
-  LONGS_EQUAL(knobs.linesPerWindow, lines);
+  LONGS_EQUAL(knobs.maximumLinesPerWindow, lines);
 }
 
-TEST(UnreadableRecords, keysWithoutEndAreCountedAndNotKept) {
+TEST(UnreadableRecords, boundsTheRememberedKeysButCountsAll) {
   for (std::size_t key = 0; key < 3 * knobs.maximumKeys; ++key) {
     now += knobs.window;
     records.onUnreadable(kReplica, std::to_string(key), now);
   }
   now += knobs.window;
   CHECK_FALSE(records.onUnreadable(kReplica, "new", now));
-  // Those that are no longer listed make room.
+  // Keys that are no longer listed make room.
   records.onListed(kReplica, {"7"});
   CHECK_FALSE(records.onUnreadable(kReplica, "7", now));
   CHECK_TRUE(records.onUnreadable(kReplica, "new", now));
