--- a/src/edge/datagram_socket.h
+++ b/src/edge/datagram_socket.h
@@ -21,7 +21,7 @@
 
   DatagramSocket(boost::asio::io_context& context, Receiver receiver);
 
-  /// Binds the socket and starts to receive.
+  /// Binds the socket and starts receiving.
   /// \param address `ip:port`. Errors: `InvalidSettings`.
   Result<Success> listen(const std::string& address);
   /// Sends without blocking. The datagram is dropped if it cannot be sent immediately or if the
--- a/src/edge/edge_context.h
+++ b/src/edge/edge_context.h
@@ -26,7 +26,7 @@
 };
 
 /// When the node last read the store successfully; gives the age of its tables.
-struct Freshness {
+struct StoreReadTimes {
   Instant configurationHeardAt;
   Instant replicasHeardAt;
 };
@@ -38,7 +38,7 @@
   /// While the budget has room for this many turns, a turn is dispatched before its reservation is
   /// recorded.
   std::uint32_t ampleBudgetTurns = 3;
-  /// How long a replica is avoided after a failure.
+  /// How long a replica is avoided after it failed before it sent a response head.
   Duration suspicionTime = milliseconds(1500);
   /// How long a replica that refused a request is avoided; also the delay before the request is
   /// retried.
@@ -62,7 +62,7 @@
   /// A dispatch without a response for this time counts as failed, so that other requests avoid the
   /// replica.
   Duration mute = milliseconds(1000);
-  /// Time limit of this test; a replica that does not answer may have ended.
+  /// Time limit of the test connection; a replica that does not answer may have ended.
   Duration reachabilityLimit = milliseconds(250);
   /// A route missing from a configuration older than this may have been added since.
   Duration configurationTrust = milliseconds(1800);
@@ -82,7 +82,7 @@
   EventLog& log;
   EdgeMetrics& metrics;
   EdgeCounters counters;
-  Freshness freshness;
+  StoreReadTimes freshness;
   ExchangeKnobs knobs;
   bool takesRequests = true;  ///< False during the last phase of a planned stop.
   TurnRetentionPolicy retention{};
--- a/src/edge/edge_daemon.h
+++ b/src/edge/edge_daemon.h
@@ -58,12 +58,13 @@
   EdgeDaemon(const EdgeDaemon&) = delete;
   EdgeDaemon& operator=(const EdgeDaemon&) = delete;
 
-  /// Opens the listeners and starts to follow the store. Errors: `InvalidSettings`.
+  /// Opens the listeners and starts following the store. Errors: `InvalidSettings`.
   Result<Success> start();
   /// Starts a planned stop: readiness fails immediately, accepted requests finish, then `onStopped`
   /// is called.
   void beginStop(std::function<void()> onStopped);
-  /// Applies changed settings to the running process. Changed listen addresses are ignored.
+  /// Applies changed settings to the running process. Changed listen addresses and disabled
+  /// mechanisms are ignored.
   void reload(EdgeSettings settings);
   /// Logs that new settings could not be read; the current ones stay in force.
   void refuseReload(const std::vector<Error>& errors);
@@ -97,6 +98,7 @@
   /// \param source what reported the end of the evacuation, for the log.
   void onEvacuationEnded(const std::string& zone, std::string_view source);
   void onRegistrationLost(const std::string& id, std::string_view source);
+  /// \return whether the store is unavailable, or was until shortly before.
   [[nodiscard]] bool isOrWasStoreUnavailable() const;
   void onReplicaRecord(const std::string& id, const std::string& value);
   [[nodiscard]] bool isUnchangedRegistration(const std::string& older,
@@ -138,7 +140,7 @@
   [[nodiscard]] Instant earliestStopSignalTime() const;
   void checkStopped();
   [[nodiscard]] EdgeSnapshot snapshot() const;
-  void addTopicMetrics(EdgeSnapshot& figures) const;
+  void addTopicMetrics(EdgeSnapshot& values) const;
   [[nodiscard]] bool isReady() const;
   /// \return whether this node has internal ports for calls between nodes.
   [[nodiscard]] bool hasPeers() const { return settings_.firstInternalPort != 0; }
@@ -223,24 +225,24 @@
   UnreadableRecords unreadableRecords_;
   bool membersListed_ = false;
   bool replicasListed_ = false;
-  std::uint64_t implausibleStarts_ =
-      0;  ///< Registrations whose start time lies in this node's future.
+  /// Registrations whose start time lies in this node's future.
+  std::uint64_t implausibleStarts_ = 0;
   std::vector<ledger::HomeCandidate> ledgerHomes_;  ///< Cached at `ledgerHomesAt_`.
   Instant ledgerHomesAt_;
-  LoadPeers loadPeers_;                           ///< Cached at `loadPeersAt_`.
-  std::vector<std::string> clientNodeAddresses_;  ///< Client addresses of the nodes that serve
-                                                  ///< clients; cached at `loadPeersAt_`.
+  LoadPeers loadPeers_;  ///< Cached at `loadPeersAt_`.
+  /// Client addresses of the nodes that serve clients; cached at `loadPeersAt_`.
+  std::vector<std::string> clientNodeAddresses_;
   std::vector<routing::RingMember> ringMembers_;  ///< All members; cached at `loadPeersAt_`.
   Instant loadPeersAt_;
   bool servesClients_ = false;  ///< Whether the directory names this node.
-  bool hasRequestsInFlight_ =
-      false;  ///< Whether any replica had requests of this node in flight at `loadScannedAt_`.
+  /// Whether any replica had requests of this node in flight at `loadScannedAt_`.
+  bool hasRequestsInFlight_ = false;
   Instant loadScannedAt_;
   std::uint64_t lastDispatchCount_ = 0;
-  std::set<std::string, std::less<>>
-      unavailableTopics_;  ///< Followed topics whose reads currently fail.
-  std::set<std::string, std::less<>>
-      everReadTopics_;  ///< Followed topics that were read at least once since the start.
+  /// Followed topics whose reads currently fail.
+  std::set<std::string, std::less<>> unavailableTopics_;
+  /// Followed topics that were read at least once since the start.
+  std::set<std::string, std::less<>> everReadTopics_;
   Instant startedAt_;
   std::optional<Instant> storeRecoveredAt_;
   bool stopping_ = false;
--- a/src/edge/file_watcher.h
+++ b/src/edge/file_watcher.h
@@ -18,7 +18,7 @@
   FileWatcher(services::TimerService& timers, std::string path, Duration period,
               std::function<void(const std::string&)> onChanged);
 
-  /// Starts to poll, with a first check immediately, so that a change since `lastContent` was read
+  /// Starts polling, with a first check immediately, so that a change since `lastContent` was read
   /// is reported.
   void start(std::string lastContent);
   /// Checks the file now. An unreadable or empty file is assumed to be in the middle of a write and
--- a/src/edge/load_exchange.h
+++ b/src/edge/load_exchange.h
@@ -45,7 +45,7 @@
   LoadExchange(boost::asio::io_context& context, LoadExchangeKnobs knobs, std::uint64_t seed,
                routing::RegionHash region, DigestObserver onDigest);
 
-  /// Starts to receive digests.
+  /// Starts receiving digests.
   /// \param address `ip:port`. Errors: `InvalidSettings`.
   Result<Success> listen(const std::string& address);
   /// Sends this node's load at the replicas to random peers.
--- a/src/edge/member_table.h
+++ b/src/edge/member_table.h
@@ -49,8 +49,8 @@
   Duration heartbeat = seconds(1);  ///< Shortest interval between two records of a node.
   /// Limit for the whole fleet; in large fleets heartbeats become less frequent to stay below it.
   double recordsPerSecond = 60;
-  double deadAfterHeartbeats =
-      3.3;  ///< A node counts as dead after this many heartbeats without a record.
+  /// A node counts as dead after this many heartbeat intervals without a record.
+  double deadAfterHeartbeats = 3.3;
   /// A node without a record for this time is removed, so that it is no longer probed. Far longer
   /// than any store outage that nodes are expected to recover from.
   Duration removeAfter = seconds(600);
@@ -74,19 +74,19 @@
   /// Returns whether the failure detector suspects the node with this key.
   using FailsProbes = std::function<bool(const std::string& key)>;
 
-  explicit MemberTable(MemberTableKnobs knobs, FailsProbes isSilent)
-      : knobs_(knobs), failsProbes_(std::move(isSilent)) {}
+  explicit MemberTable(MemberTableKnobs knobs, FailsProbes failsProbes)
+      : knobs_(knobs), failsProbes_(std::move(failsProbes)) {}
 
-  /// \return whether the record changes if the node serves.
+  /// \return whether the node starts or stops to serve with this record.
   bool onRecord(const std::string& key, const MemberRecord& record, Instant now);
   void remove(const std::string& key) { members_.erase(key); }
   /// \return the number of listed nodes, including dead and leaving ones.
   [[nodiscard]] std::size_t size() const { return members_.size(); }
   /// \return the relay addresses of all listed nodes.
   [[nodiscard]] std::vector<std::string> relayAddresses() const;
-  /// \return all listed nodes by client address, weighted for rendezvous hashing: nodes named to
-  /// clients of their zone in normal operation weigh 1, the others little, so that they receive
-  /// clients only when the former are gone.
+  /// \return all listed nodes by client address. Nodes that are named to clients of their zone in
+  /// normal operation weigh 1; the others weigh little, because clients use them only if the former
+  /// are gone.
   [[nodiscard]] std::vector<routing::RingMember> ringMembers() const;
   /// Removes nodes without a record for `removeAfter`.
   /// \return their keys.
@@ -124,8 +124,7 @@
   [[nodiscard]] bool isAlive(const std::string& key, const Entry& entry) const;
   using Members = std::vector<const MemberRecord*>;
   /// \return the serving nodes nearest to the client, with more distant ones added while there are
-  /// too few. \param suspects return only suspect nodes, at any distance, instead of only the
-  /// others.
+  /// too few. \param suspects return all suspect nodes instead of the others.
   [[nodiscard]] Members nearest(const ClientLocation& client, const IsSuspect& isSuspect,
                                 bool suspects) const;
   /// Truncates to the most capable nodes, by descending capacity. Deterministic, so that all nodes
--- a/src/edge/peer_monitor.h
+++ b/src/edge/peer_monitor.h
@@ -29,8 +29,9 @@
   /// A suspect that does not refute the suspicion within this time is declared dead. Long enough
   /// for the suspicion to reach it and for its refutation to return.
   Duration suspicionTimeout = milliseconds(600);
-  Duration isolationTimeout = milliseconds(
-      600);  ///< Without any message for this time, the node assumes that it is cut off itself.
+  /// Without any message for this time, a node assumes that its own links failed and suspects no
+  /// other node.
+  Duration isolationTimeout = milliseconds(600);
   /// Interval at which the detector's timers are checked.
   Duration tickPeriod = milliseconds(50);
 };
@@ -50,13 +51,13 @@
               logstore::ClockFunction clock, Incarnation incarnation, PeerMonitorKnobs knobs,
               std::uint64_t seed, StateObserver onStateChanged);
 
-  /// Starts to probe and to answer probes. Errors: `InvalidSettings`.
+  /// Starts probing and answering probes. Errors: `InvalidSettings`.
   Result<Success> listen(const std::string& ip, std::uint16_t port);
   /// Adds a node to the probed ones.
   void watch(const std::string& ip);
-  /// Stops to probe a node that has left the member list.
+  /// Stops probing a node that has left the member list.
   void forget(const std::string& ip);
-  /// \return whether the detector currently holds the node for suspected or dead.
+  /// \return whether the detector currently considers the node suspected or dead.
   [[nodiscard]] bool isSuspectedOrDead(const std::string& ip) const {
     return suspectedOrDead_.contains(ip);
   }
--- a/src/edge/quota_exchange.h
+++ b/src/edge/quota_exchange.h
@@ -40,7 +40,7 @@
   QuotaExchange(boost::asio::io_context& context, services::TimerService& timers,
                 std::function<Instant()> clock, QuotaSources sources, std::uint64_t incarnation);
 
-  /// Starts to exchange quota messages. Errors: `InvalidSettings`.
+  /// Starts exchanging quota messages. Errors: `InvalidSettings`.
   /// \param port the same on all nodes.
   Result<Success> listen(const std::string& ip, std::uint16_t port);
 
--- a/src/edge/reader_election.h
+++ b/src/edge/reader_election.h
@@ -81,15 +81,15 @@
   RandomSource random_;
   std::string reader_;
   bool isReader_ = false;
-  bool needsListing_ =
-      true;  ///< The claims must be listed, because no reader is known or reachable.
-  bool isRelistedBeforeClaim_ =
-      false;  ///< The claims were listed again after the claim delay had passed.
+  /// The claims must be listed, because no reader is known or reachable.
+  bool needsListing_ = true;
+  /// The claims were listed again after the claim delay had passed.
+  bool isRelistedBeforeClaim_ = false;
   std::optional<Instant> claimAt_;
   Instant reviewAt_;
   Duration noAnswerTimeout_;  ///< See `ReaderElectionKnobs::noAnswerTimeout`.
-  std::optional<Instant>
-      noAnswerSince_;  ///< Time since which the reader is reachable without an answer.
+  /// Time since which the reader is reachable but does not answer.
+  std::optional<Instant> noAnswerSince_;
   std::map<std::string, Instant> suspectUntil_;
 };
 
--- a/src/edge/shared_topic_store.cpp
+++ b/src/edge/shared_topic_store.cpp
@@ -177,7 +177,7 @@
   }
   const auto* const error = std::get_if<logstore::StoreError>(&*reply);
   if (error == nullptr || error->fault == logstore::StoreFault::Compacted) {
-    // This node is not recorded, so that it stops to read directly once another claim replaces its
+    // This node is not recorded, so that it stops reading directly once another claim replaces its
     // own.
     if (reader != ownAddress_) {
       lastGoodReaders_[call->request.partition] = reader;
--- a/src/edge/shared_topic_store.h
+++ b/src/edge/shared_topic_store.h
@@ -104,8 +104,8 @@
   SharedTopicStoreKnobs knobs_;
   ledger::HomeSelector readers_{{}};
   std::map<logstore::PartitionAddress, logstore::TopicGateway*> gateways_;
-  std::map<logstore::PartitionAddress, std::string>
-      lastGoodReaders_;  ///< The last reader that answered.
+  /// The last reader that answered, by partition.
+  std::map<logstore::PartitionAddress, std::string> lastGoodReaders_;
 };
 
 }  // namespace gorsetrail::edge
