--- a/src/edge/edge_daemon.cpp
+++ b/src/edge/edge_daemon.cpp
@@ -177,8 +177,8 @@
   if (!settings_.uses(Mechanism::SecondPartitions)) {
     knobs.usesSecondPartitions = false;
   }
-  knobs.onSilence = [this](const std::string& address, bool silent) {
-    log_.important(silent ? "node_silent" : "node_answers", {{"address", address}});
+  knobs.onSilence = [this](const std::string& address, bool isUnresponsive) {
+    log_.important(isUnresponsive ? "node_silent" : "node_answers", {{"address", address}});
   };
   return knobs;
 }
--- a/src/edge/edge_daemon_peers.cpp
+++ b/src/edge/edge_daemon_peers.cpp
@@ -51,11 +51,11 @@
 }
 
 void EdgeDaemon::onPeerState(const std::string& ip, membership::MemberState state) {
-  const bool silent =
+  const bool isSuspectedOrDead =
       state == membership::MemberState::Suspected || state == membership::MemberState::Dead;
   // Logged as routine, because in a large starting fleet every node learns of many suspects per
   // second.
-  log_.routine(silent ? "peer_silent" : "peer_answers",
+  log_.routine(isSuspectedOrDead ? "peer_silent" : "peer_answers",
                {{"node", ip}, {"state", membership::memberStateName(state)}});
 }
 
--- a/src/edge/peer_monitor.cpp
+++ b/src/edge/peer_monitor.cpp
@@ -107,10 +107,9 @@
 
 void PeerMonitor::onMemberChanged(const membership::MemberUpdate& update) {
   const std::string ip = ipOf(update.node);
-  const bool isSuspectedOrDead = update.state == membership::MemberState::Suspected ||
-                                 update.state == membership::MemberState::Dead;
-  const bool changed =
-      isSuspectedOrDead ? suspectedOrDead_.insert(ip).second : suspectedOrDead_.erase(ip) > 0;
+  const bool isDown = update.state == membership::MemberState::Suspected ||
+                      update.state == membership::MemberState::Dead;
+  const bool changed = isDown ? suspectedOrDead_.insert(ip).second : suspectedOrDead_.erase(ip) > 0;
   // The transition from suspected to dead is reported too; a first contact is not.
   if (changed || update.state == membership::MemberState::Dead) {
     onStateChanged_(ip, update.state);
--- a/tests/edge/load_exchange_test.cpp
+++ b/tests/edge/load_exchange_test.cpp
@@ -23,7 +23,7 @@
     context.restart();
     context.poll();
   }
-  /// \return addresses of new receivers, whose digests are added to `got`.
+  /// \return addresses of new receivers, whose digests are added to `received`.
   std::vector<std::string> listen(int count, int firstIp) {
     std::vector<std::string> addresses;
     for (int receiver = 0; receiver < count; ++receiver) {
