--- a/src/edge/edge_daemon.cpp
+++ b/src/edge/edge_daemon.cpp
@@ -18,23 +18,24 @@
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kUnavailable = 503;
 constexpr Duration kFlushPeriod = milliseconds(250);
-/// A loop that is late by so many periods stood still; a busy one is late by a part of one.
-constexpr int kMissedFlushes = 3;
+/// If the flush loop is late by more than this many periods, the process was suspended. A busy loop
+/// is late by less than one period.
+constexpr int kSuspendedAfterMissedFlushes = 3;
 constexpr Duration kSweepPeriod = seconds(10);
 constexpr Duration kLeasePeriod = seconds(1);
 constexpr Duration kStopCheckPeriod = milliseconds(100);
-/// Clients may hold this node's address for a while after it left the directory: so long are their
-/// requests taken. Later ones are told at once that they have not run, since the process may end
-/// before they do.
-constexpr Duration kTakesRequestsAfterStop = milliseconds(3000);
-constexpr Duration kShortestStop = milliseconds(3200);
-/// Left of the stop limit for the end of the process.
+/// Requests are accepted for this time after the stop signal, because clients cache this node's
+/// address after it left the directory. Later requests are refused as not executed, because the
+/// process may end before they finish.
+constexpr Duration kAcceptAfterStop = milliseconds(3000);
+constexpr Duration kMinimumStopTime = milliseconds(3200);
+/// Part of the stop limit reserved for the end of the process.
 constexpr Duration kStopMargin = milliseconds(700);
-/// Clients ask again after this, so that a dead node is not used for long.
+/// Time to live of directory answers; bounds how long clients use the address of a dead node.
 constexpr double kAddressTtlSeconds = 1.0;
 constexpr Duration kServerSweepPeriod = seconds(2);
 
-/// \return what a client gets whose request could not be read.
+/// \return the HTTP status for a request that could not be read.
 unsigned statusOf(http::ProtocolFault fault) {
   constexpr unsigned kBadRequest = 400;
   constexpr unsigned kTimeout = 408;
@@ -64,20 +65,21 @@
       timers_(services::makeTimerService(context)),
       clock_(steadyNow),
       log_(parts.log, clock_, {}),
-      // The time of day may be set back between two starts of a node: the detector copes.
+      // The system clock may jump backwards between two processes of a node. The failure detector
+      // tolerates incarnations that are not increasing.
       peerMonitor_(
-          context, *timers_, clock_, Incarnation(millisecondsOfDay()), {}, seed,
+          context, *timers_, clock_, Incarnation(unixTimeMilliseconds()), {}, seed,
           [this](const std::string& ip, membership::MemberState state) { onPeerState(ip, state); }),
       members_({},
                [this](const std::string& ip) {
-                 return settings_.uses(Mechanism::PeerProbes) && peerMonitor_.isSilent(ip);
+                 return settings_.uses(Mechanism::PeerProbes) && peerMonitor_.isSuspectedOrDead(ip);
                }),
       relayedStore_(
           parts.peers,
           [this](const logstore::PartitionAddress& partition) { return otherRelays(partition); },
           seed),
       failoverStore_(parts.store, relayedStore_, clock_, {},
-                     [this](logstore::StoreWay way) { onStoreWay(way); }),
+                     [this](logstore::StoreWay way) { onStorePathChanged(way); }),
       store_(failoverStore_, *timers_, clock_, storePaceOf(settings_), seed),
       relayServer_(parts.store),
       announcer_(failoverStore_, *timers_, clock_, {kMemberTopic, 0},
@@ -102,8 +104,8 @@
           [this] { return ownRecord(); },
           [this](const std::string& address) {
             log_.important("topic_reader", {{"zone", settings_.zone}, {"address", address}});
-            // Together: a node that had its configuration long before the members would refuse
-            // turns, since it would not know whom to ask for their budgets.
+            // All three are retried together: a node with a configuration but without members would
+            // refuse turns, because it could not find the nodes that hold their budgets.
             memberFollower_->retryNow();
             replicaFollower_->retryNow();
             configurationFollower_->retryNow();
@@ -124,7 +126,7 @@
       evacuationRule_(evacuations_, {}),
       coldReplicas_(coldReplicaKnobsOf(settings_), coldReplicaSources(), settings_.listen.clients,
                     seed),
-      // The regions' rule first: what may never serve a request is no reason to wait.
+      // The region rule comes first: a replica that it excludes is no reason to wait for capacity.
       placement_(replicas_, selector_, admission_,
                  {&regionRule_, &evacuationRule_, &coldReplicas_}),
       fleetLoad_({}, routing::regionHashOf(zones_.regionOf(settings_.zone))),
@@ -137,7 +139,7 @@
                routes_,
                placement_,
                ledger_,
-               quotaInUse(),
+               selectQuotaAdmission(),
                parts.client,
                *timers_,
                clock_,
@@ -152,8 +154,8 @@
 
 EdgeDaemon::~EdgeDaemon() { log_.flush(); }
 
-ledger::LedgerKnobs EdgeDaemon::ledgerKnobs(std::uint64_t life) {
-  ledger::LedgerKnobs knobs = ledgerKnobsOf(settings_, life);
+ledger::LedgerKnobs EdgeDaemon::ledgerKnobs(std::uint64_t incarnation) {
+  ledger::LedgerKnobs knobs = ledgerKnobsOf(settings_, incarnation);
   knobs.budgets.onOwnLease = [this](const logstore::PartitionAddress& partition,
                                     const ledger::BudgetLease& lease) {
     const bool isHeld = lease.state == ledger::BudgetLeaseState::Held;
@@ -175,8 +177,8 @@
   if (!settings_.uses(Mechanism::SecondPartitions)) {
     knobs.usesSecondPartitions = false;
   }
-  knobs.onSilence = [this](const std::string& address, bool silent) {
-    log_.important(silent ? "node_silent" : "node_answers", {{"address", address}});
+  knobs.onSilence = [this](const std::string& address, bool isUnresponsive) {
+    log_.important(isUnresponsive ? "node_silent" : "node_answers", {{"address", address}});
   };
   return knobs;
 }
@@ -213,15 +215,15 @@
   return sources;
 }
 
-quota::QuotaAdmission& EdgeDaemon::quotaInUse() {
+quota::QuotaAdmission& EdgeDaemon::selectQuotaAdmission() {
   if (settings_.uses(Mechanism::QuotaTokens)) {
     return quotaExchange_;
   }
   return staticShares_;
 }
 
-// Every node counts an entry that cannot be read, each time that it is written: it is another
-// writer's, and its heartbeats are not known to be such.
+// An unreadable registration counts as changed, so that each node counts every write of it. The
+// heartbeats in such a record cannot be told from other changes.
 bool EdgeDaemon::isUnchangedRegistration(const std::string& older, const std::string& newer) const {
   return parts_.documents.sameRegistration(older, newer) &&
          (!unreadableRecords_.hasAny(RecordKind::Replica) ||
@@ -262,7 +264,7 @@
   options.knobs.maximumBodyBytes = routing::ClientLimits{}.maximumBodyBytes;
   options.knobs.maximumConnections = settings_.maximumDescriptors / 2;
   options.knobs.sweepPeriod = kServerSweepPeriod;
-  options.knobs.maximumUntakenBytes = untakenBytesOf(settings_);
+  options.knobs.maximumUntakenBytes = maximumUnreadBytesOf(settings_);
   options.onRequest = std::move(onRequest);
   options.onFault = [this](http::ProtocolFault fault) {
     const unsigned status = statusOf(fault);
@@ -290,27 +292,28 @@
     onDirectoryRequest(request, writer);
   };
   if (settings_.uses(Mechanism::TopicGateways)) {
-    sharedTopics_.share(configurationPartition(), configurationGateway_);
-    sharedTopics_.share(replicaPartition(), replicaGateway_);
-    sharedTopics_.share({kMemberTopic, 0}, memberGateway_);
+    sharedTopics_.routeThroughReader(configurationPartition(), configurationGateway_);
+    sharedTopics_.routeThroughReader(replicaPartition(), replicaGateway_);
+    sharedTopics_.routeThroughReader({kMemberTopic, 0}, memberGateway_);
   }
-  relayServer_.shareReads([this](const logstore::ReadRequest& request,
-                                 const logstore::StoreCallback<logstore::ReadReply>& reply) {
+  relayServer_.interceptReads([this](const logstore::ReadRequest& request,
+                                     const logstore::StoreCallback<logstore::ReadReply>& reply) {
     logstore::TopicGateway* const gateway = sharedTopics_.gatewayOf(request.partition);
     if (gateway != nullptr) {
       gateway->read(request, reply);
     }
     return gateway != nullptr;
   });
-  relayServer_.shareListings([this](const logstore::NewestRequest& request,
-                                    const logstore::StoreCallback<logstore::NewestReply>& reply) {
-    logstore::TopicGateway* const gateway = sharedTopics_.gatewayOf(request.partition);
-    if (gateway != nullptr) {
-      gateway->newest(request, reply);
-    }
-    return gateway != nullptr;
-  });
-  relayServer_.aggregateAppends({kMemberTopic, 0},
+  relayServer_.interceptListings(
+      [this](const logstore::NewestRequest& request,
+             const logstore::StoreCallback<logstore::NewestReply>& reply) {
+        logstore::TopicGateway* const gateway = sharedTopics_.gatewayOf(request.partition);
+        if (gateway != nullptr) {
+          gateway->newest(request, reply);
+        }
+        return gateway != nullptr;
+      });
+  relayServer_.interceptAppends({kMemberTopic, 0},
                                 [this](logstore::AppendRequest request,
                                        logstore::StoreCallback<logstore::AppendReply> callback) {
                                   announcer_.aggregate(std::move(request), std::move(callback));
@@ -352,12 +355,12 @@
 
 std::string EdgeDaemon::ownRelayAddress() const { return relayAddressOf(settings_); }
 
-void EdgeDaemon::onStoreWay(logstore::StoreWay way) {
+void EdgeDaemon::onStorePathChanged(logstore::StoreWay way) {
   log_.important("store_way", {{"way", way == logstore::StoreWay::Direct ? "direct" : "relay"}});
 }
 
 void EdgeDaemon::onClientRequest(http::ServerRequest request, http::ResponseWriterPtr writer) {
-  context_.takesRequests = !stopping_ || clock_() - stopBegunAt_ < kTakesRequestsAfterStop;
+  context_.takesRequests = !stopping_ || clock_() - stopStartedAt_ < kAcceptAfterStop;
   std::make_shared<Exchange>(context_, parts_.wire.readRequest(std::move(request)),
                              std::move(writer))
       ->start();
@@ -385,8 +388,8 @@
     writer->sendWhole({kNotFound, {}, {}});
     return;
   }
-  ClientPlace client{query->zone, zones_.regionOf(query->zone), &zones_,
-                     allowedRegionsOf(query->host)};
+  ClientLocation client{query->zone, zones_.regionOf(query->zone), &zones_,
+                        allowedRegionsOf(query->host)};
   if (client.region.empty()) {
     client.region = query->region;
   }
@@ -406,7 +409,7 @@
 }
 
 void EdgeDaemon::flushLoop() {
-  ranAt_ = clock_();
+  lastFlushAt_ = clock_();
   log_.flush();
   timers_->runAfter(kFlushPeriod, [this] { flushLoop(); });
 }
@@ -414,7 +417,7 @@
 void EdgeDaemon::sweepLoop() {
   ledger_.sweep();
   localLedger_.sweep();
-  for (const std::string& forgotten : members_.dropForgotten()) {
+  for (const std::string& forgotten : members_.removeExpired()) {
     peerMonitor_.forget(forgotten);
   }
   timers_->runAfter(kSweepPeriod, [this] { sweepLoop(); });
@@ -448,7 +451,7 @@
     return;
   }
   stopping_ = true;
-  stopBegunAt_ = stopAskedForAt();
+  stopStartedAt_ = earliestStopSignalTime();
   onStopped_ = std::move(onStopped);
   log_.important("stop_begun", {{"open_requests", clientServer_->counters().responsesOpen}});
   announce(true);
@@ -457,20 +460,20 @@
   checkStopped();
 }
 
-// A process that stands still does not see the signal, and the operator's limit runs on: the stop
-// may have been asked for right after this process last ran. Without this it would wait past the
-// limit for its open requests and be killed amid them.
-Instant EdgeDaemon::stopAskedForAt() const {
+// A suspended process does not see the stop signal while the operator's limit runs, so the signal
+// may have been sent right after the process last ran. Assuming this keeps the process from waiting
+// for open requests beyond the limit and being killed.
+Instant EdgeDaemon::earliestStopSignalTime() const {
   const Instant now = clock_();
-  const bool stoodStill = now - ranAt_ > kFlushPeriod * kMissedFlushes;
-  return stoodStill ? ranAt_ : now;
+  const bool wasSuspended = now - lastFlushAt_ > kFlushPeriod * kSuspendedAfterMissedFlushes;
+  return wasSuspended ? lastFlushAt_ : now;
 }
 
 void EdgeDaemon::checkStopped() {
-  const Duration since = clock_() - stopBegunAt_;
+  const Duration since = clock_() - stopStartedAt_;
   const std::uint64_t open = clientServer_->counters().responsesOpen;
-  const bool timeIsUp = since >= settings_.bounds.stopLimit - kStopMargin;
-  if ((since >= kShortestStop && open == 0) || timeIsUp) {
+  const bool isLimitReached = since >= settings_.bounds.stopLimit - kStopMargin;
+  if ((since >= kMinimumStopTime && open == 0) || isLimitReached) {
     log_.important("stopped", {{"open_requests", open}});
     log_.flush();
     onStopped_();
--- a/src/edge/edge_knobs.cpp
+++ b/src/edge/edge_knobs.cpp
@@ -5,7 +5,7 @@
 namespace gorsetrail::edge {
 namespace {
 
-/// A limit that is never reached.
+/// Disables a limit.
 constexpr double kNoLimit = 1e9;
 
 }  // namespace
@@ -15,13 +15,14 @@
 }
 
 double capacityOf(const EdgeSettings& settings) {
-  // From this link on the processor is what a home runs out of first: 1 ms for a turn of 100 KB.
-  constexpr double kWideLinkMegabitsPerSecond = 1000;
-  const double link = std::min(1.0, settings.linkMegabitsPerSecond / kWideLinkMegabitsPerSecond);
+  // With a link of at least this bandwidth the CPU, not the link, limits a ledger host.
+  constexpr double kReferenceLinkMegabitsPerSecond = 1000;
+  const double link =
+      std::min(1.0, settings.linkMegabitsPerSecond / kReferenceLinkMegabitsPerSecond);
   return settings.processorShare * link;
 }
 
-ledger::LedgerKnobs ledgerKnobsOf(const EdgeSettings& settings, std::uint64_t life) {
+ledger::LedgerKnobs ledgerKnobsOf(const EdgeSettings& settings, std::uint64_t incarnation) {
   constexpr std::uint64_t kShareOfMemory = 4;
   ledger::LedgerKnobs knobs;
   knobs.zone = settings.zone;
@@ -29,14 +30,14 @@
   knobs.maximumRecordBytes = settings.store.maximumRecordBytes;
   knobs.cacheBytes = settings.memoryBytes / kShareOfMemory;
   knobs.budgets.holder = relayAddressOf(settings);
-  knobs.budgets.life = std::to_string(life);
+  knobs.budgets.life = std::to_string(incarnation);
   knobs.budgets.leases.enabled = settings.uses(Mechanism::BudgetLeases);
   return knobs;
 }
 
-std::uint64_t untakenBytesOf(const EdgeSettings& settings) {
-  // Caches of the log take a quarter, a resting process some 20 MB: of 88 MB, 11 for each of the
-  // listeners that callers and nodes use leave room for the requests under way.
+std::uint64_t maximumUnreadBytesOf(const EdgeSettings& settings) {
+  // Leaves room for the ledger's cache, a quarter of the memory, and for the requests in flight
+  // when several listeners reach this limit.
   constexpr std::uint64_t kShareOfMemory = 8;
   return settings.memoryBytes / kShareOfMemory;
 }
@@ -94,7 +95,8 @@
 }
 
 TurnRetentionKnobs turnRetentionKnobsOf(const EdgeSettings& settings) {
-  // Turns are small beside caches of the log; 2.7 MB of 88 MB are some 130 turns of 20 KB.
+  // Retained turns are small compared with the ledger's cache; room for about a hundred turns on a
+  // small node.
   constexpr std::uint64_t kShareOfMemory = 32;
   TurnRetentionKnobs knobs;
   knobs.holdsEnds = settings.uses(Mechanism::TurnRetention);
--- a/src/edge/member_table.cpp
+++ b/src/edge/member_table.cpp
@@ -11,11 +11,11 @@
 namespace gorsetrail::edge {
 namespace {
 
-/// Processors; far more than a machine has. Sums over the largest fleet stay exact.
-constexpr double kMostCapacity = 1e6;
+/// In CPU cores. An upper limit that keeps sums over the largest fleet exact.
+constexpr double kMaximumCapacity = 1e6;
 
-/// \return the field that no node writes like this; nothing when all are right. A capacity that is
-/// no number has no place in an order, and an address that is none would be handed to clients.
+/// \return the first invalid field, or nothing. A capacity that is NaN would break sorting, and an
+/// invalid address would be passed to clients.
 std::optional<std::string_view> faultOf(const MemberRecord& record) {
   if (!isName(record.nodeName)) {
     return "node_name";
@@ -29,8 +29,8 @@
   if (!record.relayAddress.empty() && !http::isUsableAddress(record.relayAddress)) {
     return "relay_address";
   }
-  // Also false for what is not a number.
-  const bool isCapacity = record.capacity >= 0 && record.capacity <= kMostCapacity;
+  // Also false for NaN.
+  const bool isCapacity = record.capacity >= 0 && record.capacity <= kMaximumCapacity;
   return isCapacity ? std::nullopt : std::optional<std::string_view>("capacity");
 }
 
@@ -51,8 +51,9 @@
   const auto* const begin = reinterpret_cast<const std::uint8_t*>(bytes.data());
   flatbuffers::Verifier verifier(begin, bytes.size());
   if (!fbs::VerifyMemberRecordBuffer(verifier)) {
-    return Error{ErrorKind::InvalidFrame, "member record", "the bytes are no member record",
-                 "skip it; look for another writer of this topic"};
+    return Error{ErrorKind::InvalidFrame, "member record",
+                 "the bytes are not a valid member record",
+                 "the record is skipped; look for another writer of this topic"};
   }
   const fbs::MemberRecord* const read = fbs::GetMemberRecord(begin);
   MemberRecord record;
@@ -65,12 +66,12 @@
   record.capacity = read->capacity();
   if (const auto fault = faultOf(record)) {
     return Error{ErrorKind::InvalidFrame, "member record." + std::string(*fault),
-                 "no node writes such a value", "look for another writer of this topic"};
+                 "the value is malformed or out of range", "look for another writer of this topic"};
   }
   return record;
 }
 
-routing::Distance ClientPlace::distanceTo(std::string_view nodeZone) const {
+routing::Distance ClientLocation::distanceTo(std::string_view nodeZone) const {
   if (nodeZone == zone) {
     return routing::Distance::SameZone;
   }
@@ -81,7 +82,7 @@
                                              : routing::Distance::OtherRegion;
 }
 
-bool ClientPlace::allows(std::string_view nodeZone) const {
+bool ClientLocation::allows(std::string_view nodeZone) const {
   return allowedRegions == nullptr || distanceTo(nodeZone) != routing::Distance::OtherRegion ||
          (zones != nullptr && zones->isIn(nodeZone, *allowedRegions));
 }
@@ -101,8 +102,9 @@
 }
 
 bool MemberTable::isAlive(const std::string& key, const Entry& entry) const {
-  const auto silence = std::chrono::duration_cast<Duration>(heartbeat() * knobs_.silentHeartbeats);
-  return freshAt_ - entry.heardAt < silence && !isSilent_(key);
+  const auto timeout =
+      std::chrono::duration_cast<Duration>(heartbeat() * knobs_.deadAfterHeartbeats);
+  return lastReadAt_ - entry.lastRecordAt < timeout && !failsProbes_(key);
 }
 
 std::vector<std::string> MemberTable::relayAddresses() const {
@@ -134,10 +136,10 @@
   return ring;
 }
 
-std::vector<std::string> MemberTable::dropForgotten() {
+std::vector<std::string> MemberTable::removeExpired() {
   std::vector<std::string> forgotten;
   for (const auto& [key, entry] : members_) {
-    if (freshAt_ - entry.heardAt >= knobs_.forgetAfter) {
+    if (lastReadAt_ - entry.lastRecordAt >= knobs_.removeAfter) {
       forgotten.push_back(key);
     }
   }
@@ -160,14 +162,14 @@
   double kept = 0;
   std::size_t count = 0;
   while (count < members.size() &&
-         (count < knobs_.fewestNamed || kept < knobs_.namedShareOfCapacity * all)) {
+         (count < knobs_.minimumNamedNodes || kept < knobs_.minimumNamedCapacityShare * all)) {
     kept += members[count]->capacity;
     ++count;
   }
   members.resize(count);
 }
 
-MemberTable::Members MemberTable::nearest(const ClientPlace& client, const IsSuspect& isSuspect,
+MemberTable::Members MemberTable::nearest(const ClientLocation& client, const IsSuspect& isSuspect,
                                           bool suspects) const {
   std::map<routing::Distance, Members> byDistance;
   for (const auto& [key, entry] : members_) {
@@ -179,15 +181,15 @@
   }
   Members named;
   for (const auto& [distance, members] : byDistance) {
-    // Suspects are few, and most of them do not answer.
-    if (suspects || named.size() < knobs_.enoughInZone) {
+    // All suspects are added, because they are few and most do not answer.
+    if (suspects || named.size() < knobs_.minimumNearbyNodes) {
       named.insert(named.end(), members.begin(), members.end());
     }
   }
   return named;
 }
 
-std::vector<std::string> MemberTable::clientAddresses(const ClientPlace& client,
+std::vector<std::string> MemberTable::clientAddresses(const ClientLocation& client,
                                                       const IsSuspect& isSuspect) const {
   Members named = nearest(client, isSuspect, false);
   if (named.empty()) {
@@ -204,7 +206,7 @@
   return addresses;
 }
 
-std::vector<MemberRecord> MemberTable::servingIn(std::string_view zone) const {
+std::vector<MemberRecord> MemberTable::namedNodesIn(std::string_view zone) const {
   Members inZone;
   for (const auto& [key, entry] : members_) {
     if (isAlive(key, entry) && !entry.record.leaving && entry.record.zone == zone) {
@@ -219,7 +221,7 @@
   return serving;
 }
 
-std::size_t MemberTable::countIn(std::string_view zone) const {
+std::size_t MemberTable::countServingIn(std::string_view zone) const {
   std::size_t count = 0;
   for (const auto& [key, entry] : members_) {
     const bool serves = isAlive(key, entry) && !entry.record.leaving;
@@ -228,7 +230,7 @@
   return count;
 }
 
-std::vector<MemberRecord> MemberTable::alive() const {
+std::vector<MemberRecord> MemberTable::liveMembers() const {
   std::vector<MemberRecord> records;
   for (const auto& [key, entry] : members_) {
     if (isAlive(key, entry)) {
--- a/src/edge/peer_monitor.cpp
+++ b/src/edge/peer_monitor.cpp
@@ -11,7 +11,7 @@
 
 using boost::asio::ip::make_address_v4;
 
-/// \return the node that an IPv4 address names; nothing for any other text.
+/// \return the node id for an IPv4 address; nothing for other text.
 std::optional<NodeId> nodeOf(const std::string& ip) {
   boost::system::error_code error;
   const auto address = make_address_v4(ip, error);
@@ -25,7 +25,7 @@
   detector.probePeriod = knobs.probePeriod;
   detector.probeTimeout = knobs.probeTimeout;
   detector.suspicionTimeout = knobs.suspicionTimeout;
-  detector.isolationSilence = knobs.isolationSilence;
+  detector.isolationSilence = knobs.isolationTimeout;
   detector.answersUnknownNodes = true;
   return detector;
 }
@@ -48,8 +48,8 @@
 Result<Success> PeerMonitor::listen(const std::string& ip, std::uint16_t port) {
   const std::optional<NodeId> self = nodeOf(ip);
   if (!self) {
-    return Error{ErrorKind::InvalidSettings, "own address " + ip, "it is not an IPv4 address",
-                 "set the node's IPv4 address"};
+    return Error{ErrorKind::InvalidSettings, "own address " + ip,
+                 "the address must be an IPv4 address", "set the node's IPv4 address"};
   }
   auto listening = socket_.listen(ip + ":" + std::to_string(port));
   if (!succeeded(listening)) {
@@ -65,8 +65,8 @@
 void PeerMonitor::watch(const std::string& ip) {
   const std::optional<NodeId> node = nodeOf(ip);
   if (detector_ && node) {
-    // A node for which there is no room is not probed and so never silent: its heartbeats in the
-    // store still tell of its end.
+    // If the detector is full, the node is not probed and never suspected; missing heartbeats in
+    // the store still show its failure.
     static_cast<void>(detector_->addMember({*node, {}, ip, {}}));
   }
 }
@@ -75,42 +75,42 @@
   const std::optional<NodeId> node = nodeOf(ip);
   if (detector_ && node) {
     detector_->removeMember(*node);
-    silent_.erase(ip);
+    suspectedOrDead_.erase(ip);
   }
 }
 
 void PeerMonitor::tickLoop() {
   detector_->onTick(clock_());
-  carryOut();
-  timers_.runAfter(knobs_.tick, [this] { tickLoop(); });
+  executeCommands();
+  timers_.runAfter(knobs_.tickPeriod, [this] { tickLoop(); });
 }
 
 void PeerMonitor::onDatagram(const DatagramSocket::Endpoint& sender, std::string_view bytes) {
   auto message = membership::decodeMembershipMessage(bytes);
   if (!succeeded(message) || !sender.address().is_v4()) {
-    return;  // Not from a node of this fleet; a lost datagram does the same harm.
+    return;  // Ignored: not from a node of this fleet, or damaged.
   }
   const NodeId from(sender.address().to_v4().to_uint());
   detector_->onMembershipMessage(from, valueOf(message), clock_());
-  carryOut();
+  executeCommands();
 }
 
-void PeerMonitor::carryOut() {
+void PeerMonitor::executeCommands() {
   for (const membership::MembershipCommand& command : detector_->takeCommands()) {
     if (const auto* const sending = std::get_if<membership::SendMembershipMessage>(&command)) {
       send(*sending);
     } else if (const auto* const changed = std::get_if<membership::MemberChanged>(&command)) {
-      onChanged(changed->update);
+      onMemberChanged(changed->update);
     }
   }
 }
 
-void PeerMonitor::onChanged(const membership::MemberUpdate& update) {
+void PeerMonitor::onMemberChanged(const membership::MemberUpdate& update) {
   const std::string ip = ipOf(update.node);
-  const bool isSilent = update.state == membership::MemberState::Suspected ||
-                        update.state == membership::MemberState::Dead;
-  const bool changed = isSilent ? silent_.insert(ip).second : silent_.erase(ip) > 0;
-  // A suspect that is declared dead is worth a line too; a node that is met first is not.
+  const bool isDown = update.state == membership::MemberState::Suspected ||
+                      update.state == membership::MemberState::Dead;
+  const bool changed = isDown ? suspectedOrDead_.insert(ip).second : suspectedOrDead_.erase(ip) > 0;
+  // The transition from suspected to dead is reported too; a first contact is not.
   if (changed || update.state == membership::MemberState::Dead) {
     onStateChanged_(ip, update.state);
   }
--- a/src/edge/quota_exchange.cpp
+++ b/src/edge/quota_exchange.cpp
@@ -5,25 +5,25 @@
 namespace gorsetrail::edge {
 namespace {
 
-/// Between two looks at what is due without waiting requests; a third of a lend round.
-constexpr Duration kTick = milliseconds(50);
-/// While requests wait for tokens; a fifth of the time limit of a reply.
-constexpr Duration kWaitingTick = milliseconds(10);
-/// Coordinators change with a node's end or start, which probes tell a second later; choosing among
-/// all members for each request would cost more than asking.
-constexpr Duration kCoordinatorsRefresh = milliseconds(50);
-/// Names the partitions in the rendezvous hash.
+/// Timer period while no request waits for tokens.
+constexpr Duration kTickPeriod = milliseconds(50);
+/// Timer period while requests wait for tokens.
+constexpr Duration kWaitingTickPeriod = milliseconds(10);
+/// Lifetime of cached coordinators; selecting them among all members for each request would be too
+/// expensive.
+constexpr Duration kCoordinatorsCacheTime = milliseconds(50);
+/// Topic name of quota partitions in the rendezvous hash.
 constexpr char kQuotaTopic[] = "quota";
 
 }  // namespace
 
 QuotaExchange::QuotaExchange(boost::asio::io_context& context, services::TimerService& timers,
                              std::function<Instant()> clock, QuotaSources sources,
-                             std::uint64_t life)
+                             std::uint64_t incarnation)
     : timers_(timers),
       clock_(std::move(clock)),
       sources_(std::move(sources)),
-      life_(life),
+      incarnation_(incarnation),
       socket_(context, [this](const DatagramSocket::Endpoint& sender, std::string_view bytes) {
         auto message = quota::decodeQuotaMessage(bytes);
         if (succeeded(message)) {
@@ -36,7 +36,7 @@
 Result<Success> QuotaExchange::listen(const std::string& ip, std::uint16_t port) {
   portSuffix_ = ":" + std::to_string(port);
   service_ = std::make_unique<quota::QuotaService>(*this, quota::QuotaKnobs{}, ip + portSuffix_,
-                                                   life_, clock_);
+                                                   incarnation_, clock_);
   auto listening = socket_.listen(ip + portSuffix_);
   if (succeeded(listening)) {
     tickLoop();
@@ -46,13 +46,13 @@
 
 void QuotaExchange::tickLoop() {
   service_->onTick();
-  timers_.runAfter(kTick, [this] { tickLoop(); });
+  timers_.runAfter(kTickPeriod, [this] { tickLoop(); });
 }
 
 void QuotaExchange::waitingLoop() {
-  looksAfterWaiting_ = service_->hasWaiting();
-  if (looksAfterWaiting_) {
-    timers_.runAfter(kWaitingTick, [this] {
+  isWaitingLoopRunning_ = service_->hasWaiting();
+  if (isWaitingLoopRunning_) {
+    timers_.runAfter(kWaitingTickPeriod, [this] {
       service_->onTick();
       waitingLoop();
     });
@@ -62,12 +62,12 @@
 void QuotaExchange::admit(const tenant::Tenant& tenant, quota::ProgramStage stage,
                           Callback callback) {
   if (!service_) {
-    // Without internal ports there is one node alone: nobody shares the limit with it.
+    // Without internal ports this is the only node, so the limit is not shared.
     callback({quota::QuotaVerdict::Granted, Duration::zero()});
     return;
   }
   service_->admit(tenant, stage, std::move(callback));
-  if (!looksAfterWaiting_) {
+  if (!isWaitingLoopRunning_) {
     waitingLoop();
   }
 }
@@ -95,7 +95,7 @@
 std::vector<std::string> QuotaExchange::coordinatorsOf(std::uint32_t partition) const {
   const Instant now = clock_();
   Coordinators& known = coordinators_[partition];
-  if (known.chosenAt != Instant{} && now - known.chosenAt < kCoordinatorsRefresh) {
+  if (known.chosenAt != Instant{} && now - known.chosenAt < kCoordinatorsCacheTime) {
     return known.addresses;
   }
   known.chosenAt = now;
--- a/src/edge/shared_topic_store.cpp
+++ b/src/edge/shared_topic_store.cpp
@@ -7,15 +7,16 @@
 namespace gorsetrail::edge {
 namespace {
 
-logstore::ReadRequest askedOfReader(logstore::ReadRequest request, Duration timeLimit) {
+logstore::ReadRequest toReaderRequest(logstore::ReadRequest request, Duration timeLimit) {
   request.timeLimit = timeLimit;
   request.wait = Duration::zero();
   request.changesOnly = true;
   return request;
 }
 
-/// The reader may have to send the same page to a whole zone at once: the caller's limit holds.
-logstore::NewestRequest askedOfReader(logstore::NewestRequest request, Duration /*timeLimit*/) {
+/// Keeps the caller's time limit, because the reader may send the same page to a whole zone at
+/// once.
+logstore::NewestRequest toReaderRequest(logstore::NewestRequest request, Duration /*timeLimit*/) {
   return request;
 }
 
@@ -33,8 +34,8 @@
       clock_(std::move(clock)),
       knobs_(knobs) {}
 
-void SharedTopicStore::share(const logstore::PartitionAddress& partition,
-                             logstore::TopicGateway& gateway) {
+void SharedTopicStore::routeThroughReader(const logstore::PartitionAddress& partition,
+                                          logstore::TopicGateway& gateway) {
   gateways_[partition] = &gateway;
 }
 
@@ -59,14 +60,14 @@
   direct_.newest(std::move(request), std::move(callback));
 }
 
-/// One call on its way through the zone's readers.
+/// A pending call and the readers to try.
 template <class Request, class Reply>
 struct SharedTopicStore::Call {
   Request request;
   logstore::StoreCallback<Reply> callback;
-  std::vector<std::string> readers;  ///< In the order they are asked.
-  std::size_t asked = 0;
-  /// What a reader said that lives and has no answer.
+  std::vector<std::string> readers;  ///< In the order in which they are tried.
+  std::size_t nextReader = 0;
+  /// Error of a reader that was reached but could not answer.
   std::optional<logstore::StoreError> readerError;
 };
 
@@ -103,7 +104,7 @@
       readers.push_back(address);
     }
   };
-  add(provenReaders_[partition]);
+  add(lastGoodReaders_[partition]);
   for (const std::string& home :
        readers_.homesOf(partition, zone_, sources_.candidates(), clock_())) {
     add(home);
@@ -112,54 +113,54 @@
   return readers;
 }
 
-bool SharedTopicStore::storeBearsAll(const logstore::PartitionAddress& partition) const {
+bool SharedTopicStore::canAllReadDirectly(const logstore::PartitionAddress& partition) const {
   const std::size_t members = sources_.members();
   const std::size_t keys = gatewayOf(partition)->copy().keys();
-  return members > 0 && members * std::max<std::size_t>(keys, 1) <= knobs_.mostMembersTimesKeys;
+  return members > 0 && members * std::max<std::size_t>(keys, 1) <= knobs_.maximumMembersTimesKeys;
 }
 
 template <class Request, class Reply>
 void SharedTopicStore::askNext(const std::shared_ptr<Call<Request, Reply>>& call) {
-  if (call->asked == call->readers.size()) {
+  if (call->nextReader == call->readers.size()) {
     if (call->readerError) {
-      // The claimed reader is gone, and who was asked in its place has not listed the topic.
-      const bool isUnlisted = call->readerError->fault == logstore::StoreFault::Busy;
-      if (isUnlisted && sources_.claimedReader().empty()) {
+      // The claimed reader is unreachable, and the other readers have not listed the topic.
+      const bool hasNotListed = call->readerError->fault == logstore::StoreFault::Busy;
+      if (hasNotListed && sources_.claimedReader().empty()) {
         sources_.onNoReader();
       }
       call->callback(*call->readerError);
       return;
     }
     sources_.onNoReader();
-    if (storeBearsAll(call->request.partition)) {
+    if (canAllReadDirectly(call->request.partition)) {
       callDirect(std::move(call->request), std::move(call->callback));
       return;
     }
     call->callback(logstore::StoreError{logstore::StoreFault::NoAnswer,
-                                        "no reader of this zone is reached", 0});
+                                        "no topic reader of this zone is reachable", 0});
     return;
   }
-  const std::string reader = call->readers[call->asked];
-  ++call->asked;
+  const std::string reader = call->readers[call->nextReader];
+  ++call->nextReader;
   if (reader == ownAddress_) {
-    askOwn(call);
+    askSelf(call);
     return;
   }
-  relay_.callThrough(reader, askedOfReader(call->request, knobs_.timeLimit),
+  relay_.callThrough(reader, toReaderRequest(call->request, knobs_.timeLimit),
                      [this, call, reader](std::optional<logstore::StoreResult<Reply>> reply) {
                        onReply(call, reader, std::move(reply));
                      });
 }
 
-void SharedTopicStore::askOwn(const std::shared_ptr<ReadCall>& call) {
+void SharedTopicStore::askSelf(const std::shared_ptr<ReadCall>& call) {
   gatewayOf(call->request.partition)
       ->read(call->request, [this, call](logstore::StoreResult<logstore::ReadReply> result) {
         onReply(call, ownAddress_, std::optional(std::move(result)));
       });
 }
 
-// A reader's copy comes from this very listing: it goes to the store, for all others of the zone.
-void SharedTopicStore::askOwn(const std::shared_ptr<ListingCall>& call) {
+// The listing goes to the store, because it fills the copy from which this node serves its zone.
+void SharedTopicStore::askSelf(const std::shared_ptr<ListingCall>& call) {
   callDirect(std::move(call->request), std::move(call->callback));
 }
 
@@ -169,28 +170,30 @@
                                std::optional<logstore::StoreResult<Reply>> reply) {
   if (!reply) {
     readers_.suspect(reader, clock_());
-    provenReaders_.erase(call->request.partition);
+    lastGoodReaders_.erase(call->request.partition);
     sources_.onUnreachable(reader);
     askNext(call);
     return;
   }
   const auto* const error = std::get_if<logstore::StoreError>(&*reply);
   if (error == nullptr || error->fault == logstore::StoreFault::Compacted) {
-    // A reader whose claim another one took over stops reading for itself.
+    // This node is not recorded, so that it stops reading directly once another claim replaces its
+    // own.
     if (reader != ownAddress_) {
-      provenReaders_[call->request.partition] = reader;
+      lastGoodReaders_[call->request.partition] = reader;
     }
     sources_.onAnswered(reader);
     call->callback(std::move(*reply));
     return;
   }
-  if (provenReaders_[call->request.partition] == reader) {
-    provenReaders_.erase(call->request.partition);
+  if (lastGoodReaders_[call->request.partition] == reader) {
+    lastGoodReaders_.erase(call->request.partition);
   }
   if (error->fault == logstore::StoreFault::Busy) {
     sources_.onNoAnswer(reader);
   }
-  // The follower lists anew only when nobody keeps what it missed.
+  // `NotKept` is returned only if all readers report it, because it makes the follower list the
+  // topic again.
   if (!call->readerError || call->readerError->fault == logstore::StoreFault::NotKept) {
     call->readerError = *error;
   }
