--- a/src/ledger/budget_accounts.cpp
+++ b/src/ledger/budget_accounts.cpp
@@ -4,35 +4,35 @@
 
 namespace gorsetrail::ledger {
 
-void BudgetAccounts::onReservation(const BudgetReservation& reservation, std::uint64_t offset,
-                                   Instant now) {
+void BudgetAccounts::applyReservation(const BudgetReservation& reservation, std::uint64_t offset,
+                                      Instant now) {
   Account& account = accounts_[reservation.program];
-  account.lastHeard = now;
-  Entry& entry = account.entries[reservation.request];
-  entry.offset = std::min(entry.offset, offset);
-  entry.reserved = std::max(entry.reserved, reservation.tokens);
+  account.lastUpdatedAt = now;
+  RequestUsage& usage = account.usageByRequest[reservation.request];
+  usage.offset = std::min(usage.offset, offset);
+  usage.reserved = std::max(usage.reserved, reservation.tokens);
 }
 
-void BudgetAccounts::onSettlement(const BudgetSettlement& settlement, Instant now) {
+void BudgetAccounts::applySettlement(const BudgetSettlement& settlement, Instant now) {
   Account& account = accounts_[settlement.program];
-  account.lastHeard = now;
-  account.entries[settlement.request].settled = settlement.tokens;
+  account.lastUpdatedAt = now;
+  account.usageByRequest[settlement.request].settled = settlement.tokens;
 }
 
-std::uint64_t BudgetAccounts::usedBy(const std::string& program) const {
-  return usedBefore(program, {}, UINT64_MAX);
+std::uint64_t BudgetAccounts::tokensUsedBy(const std::string& program) const {
+  return tokensUsedBefore(program, {}, UINT64_MAX);
 }
 
-std::uint64_t BudgetAccounts::usedBefore(const std::string& program, std::string_view request,
-                                         std::uint64_t offset) const {
+std::uint64_t BudgetAccounts::tokensUsedBefore(const std::string& program, std::string_view request,
+                                               std::uint64_t offset) const {
   const auto found = accounts_.find(program);
   if (found == accounts_.end()) {
     return 0;
   }
   std::uint64_t total = 0;
-  for (const auto& [id, entry] : found->second.entries) {
-    if (id != request && entry.offset < offset) {
-      total += entry.tokens();
+  for (const auto& [id, usage] : found->second.usageByRequest) {
+    if (id != request && usage.offset < offset) {
+      total += usage.tokens();
     }
   }
   return total;
@@ -42,16 +42,17 @@
   const auto found = accounts_.find(program);
   std::uint64_t largest = 0;
   if (found != accounts_.end()) {
-    for (const auto& [id, entry] : found->second.entries) {
-      largest = std::max(largest, entry.reserved);
+    for (const auto& [id, usage] : found->second.usageByRequest) {
+      largest = std::max(largest, usage.reserved);
     }
   }
   return largest;
 }
 
-void BudgetAccounts::forgetIdleSince(Instant moment) {
+void BudgetAccounts::evictIdleSince(Instant cutoff) {
   for (auto account = accounts_.begin(); account != accounts_.end();) {
-    account = account->second.lastHeard < moment ? accounts_.erase(account) : std::next(account);
+    account =
+        account->second.lastUpdatedAt < cutoff ? accounts_.erase(account) : std::next(account);
   }
 }
 
--- a/src/ledger/budget_accounts.h
+++ b/src/ledger/budget_accounts.h
@@ -1,4 +1,4 @@
-/// \file Token budgets of programs, computed from the facts read so far. No I/O.
+/// \file Token usage of programs, computed from the log records that were read so far. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,36 +12,36 @@
 
 namespace gorsetrail::ledger {
 
-/// Sums reservations and settlements by program. The log's order decides between requests that
-/// reserve at the same time: each counts everything that stands before it.
+/// Sums reservations and settlements by program. The order of the log decides between concurrent
+/// requests: each one counts all reservations with a lower offset.
 class BudgetAccounts {
  public:
-  void onReservation(const BudgetReservation& reservation, std::uint64_t offset, Instant now);
-  void onSettlement(const BudgetSettlement& settlement, Instant now);
-
-  /// \return tokens that all known requests of the program have used or may use.
-  [[nodiscard]] std::uint64_t usedBy(const std::string& program) const;
-  /// \return tokens that requests other than `request`, reserved below `offset`, have used or may
-  /// use.
-  [[nodiscard]] std::uint64_t usedBefore(const std::string& program, std::string_view request,
-                                         std::uint64_t offset) const;
-  /// \return the largest known reservation of the program; 0 for an unknown one.
+  void applyReservation(const BudgetReservation& reservation, std::uint64_t offset, Instant now);
+  void applySettlement(const BudgetSettlement& settlement, Instant now);
+
+  /// \return tokens used or reserved by all known requests of the program.
+  [[nodiscard]] std::uint64_t tokensUsedBy(const std::string& program) const;
+  /// \return tokens used or reserved by requests other than `request` whose reservation has an
+  /// offset below `offset`.
+  [[nodiscard]] std::uint64_t tokensUsedBefore(const std::string& program, std::string_view request,
+                                               std::uint64_t offset) const;
+  /// \return tokens of the program's largest known reservation; 0 for an unknown program.
   [[nodiscard]] std::uint64_t largestReservationOf(const std::string& program) const;
-  /// Forgets programs of which nothing was heard since then.
-  void forgetIdleSince(Instant moment);
+  /// Removes programs without a record since `cutoff`.
+  void evictIdleSince(Instant cutoff);
   [[nodiscard]] std::size_t size() const { return accounts_.size(); }
 
  private:
-  struct Entry {
-    std::uint64_t offset = UINT64_MAX;  ///< Of the first reservation record.
+  struct RequestUsage {
+    std::uint64_t offset = UINT64_MAX;  ///< Of the request's first reservation record.
     std::uint64_t reserved = 0;
     std::optional<std::uint64_t> settled;
 
     [[nodiscard]] std::uint64_t tokens() const { return settled.value_or(reserved); }
   };
   struct Account {
-    std::unordered_map<std::string, Entry> entries;
-    Instant lastHeard;
+    std::unordered_map<std::string, RequestUsage> usageByRequest;
+    Instant lastUpdatedAt;
   };
 
   std::unordered_map<std::string, Account> accounts_;
--- a/src/ledger/budget_lease_table.cpp
+++ b/src/ledger/budget_lease_table.cpp
@@ -13,10 +13,10 @@
 
 }  // namespace
 
-void BudgetLeaseTable::onRecord(const BudgetLease& record, std::uint64_t offset, Instant now) {
+void BudgetLeaseTable::applyRecord(const BudgetLease& record, std::uint64_t offset, Instant now) {
   const auto found = leases_.find(record.lease);
   if (found == leases_.end()) {
-    onNewLease(record, offset, now);
+    addLease(record, offset, now);
     return;
   }
   Entry& known = found->second;
@@ -26,63 +26,64 @@
   if (!isRenewal && (record.state <= known.state || isVoidEnd)) {
     return;
   }
-  if (isRenewal && isFree(BudgetLeaseSlot::Primary)) {
+  if (isRenewal && isSlotFree(BudgetLeaseSlot::Primary)) {
     known.slot = BudgetLeaseSlot::Primary;
   }
   const bool hadEnded = known.state == BudgetLeaseState::Ended;
   known.state = record.state;
-  known.since = now;
+  known.updatedAt = now;
   known.renewal = std::max(known.renewal, record.renewal);
   if (known.state != BudgetLeaseState::Cleared) {
     return;
   }
-  known.clearedAt = offset;
-  // From held it is only its holder that clears it, after all under it was recorded.
+  known.clearedOffset = offset;
+  // Only the holder clears a held lease, after it has recorded all spending under it.
   if (hadEnded) {
-    clearEnded(known, now);
+    onEndedLeaseCleared(known, now);
   }
 }
 
-void BudgetLeaseTable::onNewLease(const BudgetLease& record, std::uint64_t offset, Instant now) {
+void BudgetLeaseTable::addLease(const BudgetLease& record, std::uint64_t offset, Instant now) {
   Entry entry;
   entry.holder = record.holder;
   entry.state = record.state;
-  entry.since = now;
+  entry.updatedAt = now;
   entry.renewal = record.renewal;
   entry.slot = record.slot;
   if (record.state == BudgetLeaseState::Cleared) {
-    entry.clearedAt = offset;
-    // Its earlier records are gone, so it is not known what it may have spent.
-    notePast(UnseenSpending::Both, now);
+    entry.clearedOffset = offset;
+    // The earlier records are no longer in the log, so what was spent under the lease is unknown.
+    recordClearedSpending(UnseenSpending::Both, now);
     leases_.emplace(record.lease, std::move(entry));
     return;
   }
-  // Only a renewal names the secondary slot: then the partition does not hold the first record.
+  // Only a renewal names the secondary slot, so the lease's first record is no longer in the log.
   const bool isSecondary =
-      record.slot == BudgetLeaseSlot::Secondary && isFree(BudgetLeaseSlot::Secondary);
+      record.slot == BudgetLeaseSlot::Secondary && isSlotFree(BudgetLeaseSlot::Secondary);
   const std::optional<BudgetLeaseSlot> slot =
-      isSecondary ? std::optional(BudgetLeaseSlot::Secondary) : slotForNew();
+      isSecondary ? std::optional(BudgetLeaseSlot::Secondary) : slotForNewLease();
   if (slot) {
     entry.slot = *slot;
     leases_.emplace(record.lease, std::move(entry));
   }
 }
 
-// Beside a lease that is still held there is no second one: two that both die count together for
-// who decides by the log, and turns that go on then find no room.
-std::optional<BudgetLeaseSlot> BudgetLeaseTable::slotForNew() const {
-  const auto primary = inForce(BudgetLeaseSlot::Primary);
+// While the primary lease is held, no second lease is granted: if both holders died, both leases
+// would count against every reservation, and running programs would be refused.
+std::optional<BudgetLeaseSlot> BudgetLeaseTable::slotForNewLease() const {
+  const auto primary = activeLease(BudgetLeaseSlot::Primary);
   if (primary == leases_.end()) {
     return BudgetLeaseSlot::Primary;
   }
   const bool hasEnded = primary->second.state == BudgetLeaseState::Ended;
-  return hasEnded && isFree(BudgetLeaseSlot::Secondary) ? std::optional(BudgetLeaseSlot::Secondary)
-                                                        : std::nullopt;
+  return hasEnded && isSlotFree(BudgetLeaseSlot::Secondary)
+             ? std::optional(BudgetLeaseSlot::Secondary)
+             : std::nullopt;
 }
 
-void BudgetLeaseTable::clearEnded(const Entry& cleared, Instant now) {
-  const bool overlapped = isRemembered(cleared.overlappedAt, now);
-  notePast(overlapped ? UnseenSpending::Both : spendingUnder(cleared.slot), now);
+void BudgetLeaseTable::onEndedLeaseCleared(const Entry& cleared, Instant now) {
+  const bool overlapped = isWithinRetention(cleared.overlappedAt, now);
+  recordClearedSpending(overlapped ? UnseenSpending::Both : spendingUnder(cleared.slot), now);
   for (auto& [id, lease] : leases_) {
     if (lease.state != BudgetLeaseState::Cleared) {
       lease.overlappedAt = now;
@@ -90,82 +91,85 @@
   }
 }
 
-void BudgetLeaseTable::notePast(UnseenSpending spending, Instant now) {
-  past_.at(static_cast<std::size_t>(spending)) = now;
+void BudgetLeaseTable::recordClearedSpending(UnseenSpending spending, Instant now) {
+  lastClearedAt_.at(static_cast<std::size_t>(spending)) = now;
 }
 
-bool BudgetLeaseTable::isRemembered(const std::optional<Instant>& moment, Instant now) const {
-  return moment && now - *moment < knobs_.memory;
+bool BudgetLeaseTable::isWithinRetention(const std::optional<Instant>& moment, Instant now) const {
+  return moment && now - *moment < knobs_.retention;
 }
 
-BudgetLeaseTable::Leases::const_iterator BudgetLeaseTable::inForce(BudgetLeaseSlot slot) const {
+BudgetLeaseTable::Leases::const_iterator BudgetLeaseTable::activeLease(BudgetLeaseSlot slot) const {
   return std::find_if(leases_.begin(), leases_.end(), [slot](const auto& entry) {
     return entry.second.state != BudgetLeaseState::Cleared && entry.second.slot == slot;
   });
 }
 
 bool BudgetLeaseTable::hasSlotFor(const std::string& ownLease) const {
-  return slotOf(ownLease) || slotForNew();
+  return slotOf(ownLease) || slotForNewLease();
 }
 
-bool BudgetLeaseTable::canMoveUp(const std::string& lease) const {
-  return slotOf(lease) == BudgetLeaseSlot::Secondary && isFree(BudgetLeaseSlot::Primary);
+bool BudgetLeaseTable::canPromote(const std::string& lease) const {
+  return slotOf(lease) == BudgetLeaseSlot::Secondary && isSlotFree(BudgetLeaseSlot::Primary);
 }
 
-UnseenSpending BudgetLeaseTable::unseenSpending(const std::string& ownLease, bool isTimely,
+UnseenSpending BudgetLeaseTable::unseenSpending(const std::string& ownLease, bool hasTimeLeft,
                                                 std::uint64_t below, Instant now) const {
   UnseenSpending spending = UnseenSpending::None;
   for (const auto& lease : leases_) {
-    if (isForeign(lease, ownLease, below)) {
-      // Two may name the same slot: one was cleared behind `below`, and then the other moved up.
+    if (isUnclearedForeign(lease, ownLease, below)) {
+      // Two leases can name the same slot: one was cleared at or after `below`, and the other was
+      // promoted then.
       const bool isOnly = spending == UnseenSpending::None;
       spending = isOnly ? spendingUnder(lease.second.slot) : UnseenSpending::Both;
     }
   }
-  return isTimely ? spending : std::max(spending, lateSpending(ownLease, below, now));
+  return hasTimeLeft ? spending : std::max(spending, overdueSpending(ownLease, below, now));
 }
 
-UnseenSpending BudgetLeaseTable::lateSpending(const std::string& ownLease, std::uint64_t below,
-                                              Instant now) const {
+UnseenSpending BudgetLeaseTable::overdueSpending(const std::string& ownLease, std::uint64_t below,
+                                                 Instant now) const {
   const bool overlapped = std::any_of(leases_.begin(), leases_.end(), [&](const auto& lease) {
-    return isForeign(lease, ownLease, below) && isRemembered(lease.second.overlappedAt, now);
+    return isUnclearedForeign(lease, ownLease, below) &&
+           isWithinRetention(lease.second.overlappedAt, now);
   });
   UnseenSpending most = overlapped ? UnseenSpending::Both : UnseenSpending::None;
   for (const UnseenSpending spending :
        {UnseenSpending::Secondary, UnseenSpending::Primary, UnseenSpending::Both}) {
-    if (isRemembered(past_.at(static_cast<std::size_t>(spending)), now)) {
+    if (isWithinRetention(lastClearedAt_.at(static_cast<std::size_t>(spending)), now)) {
       most = std::max(most, spending);
     }
   }
   return most;
 }
 
-std::optional<BudgetLease> BudgetLeaseTable::due(const std::string& ownLease,
-                                                 const std::string& ownHolder, Instant now) const {
+std::optional<BudgetLease> BudgetLeaseTable::nextTransition(const std::string& ownLease,
+                                                            const std::string& ownHolder,
+                                                            Instant now) const {
   for (const BudgetLeaseSlot slot : kSlots) {
-    const auto lease = inForce(slot);
+    const auto lease = activeLease(slot);
     if (lease == leases_.end() || lease->first == ownLease) {
       continue;
     }
-    if (std::optional<BudgetLease> record = dueOf(*lease, ownHolder, now)) {
+    if (std::optional<BudgetLease> record = nextTransitionOf(*lease, ownHolder, now)) {
       return record;
     }
   }
   return std::nullopt;
 }
 
-std::optional<BudgetLease> BudgetLeaseTable::dueOf(const Leases::value_type& lease,
-                                                   const std::string& ownHolder,
-                                                   Instant now) const {
+std::optional<BudgetLease> BudgetLeaseTable::nextTransitionOf(const Leases::value_type& lease,
+                                                              const std::string& ownHolder,
+                                                              Instant now) const {
   const Entry& entry = lease.second;
   BudgetLease record{lease.first, entry.holder, BudgetLeaseState::Ended, entry.renewal, entry.slot};
-  const Duration age = now - entry.since;
+  const Duration age = now - entry.updatedAt;
   if (entry.state == BudgetLeaseState::Held) {
     const bool isDead = entry.holder == ownHolder || age >= knobs_.expiry;
     return isDead ? std::optional(record) : std::nullopt;
   }
   record.state = BudgetLeaseState::Cleared;
-  const bool isPast = age >= knobs_.longestProgramTime + knobs_.longestCall;
+  const bool isPast = age >= knobs_.maxRemainingProgramTime + knobs_.maxDecisionDelay;
   return isPast ? std::optional(record) : std::nullopt;
 }
 
@@ -180,32 +184,33 @@
   return isInForce ? std::optional(found->second.slot) : std::nullopt;
 }
 
-void BudgetLeaseTable::forgetOld(Instant now) {
+void BudgetLeaseTable::evictCleared(Instant now) {
   std::erase_if(leases_, [&](const auto& entry) {
     return entry.second.state == BudgetLeaseState::Cleared &&
-           now - entry.second.since >= knobs_.memory;
+           now - entry.second.updatedAt >= knobs_.retention;
   });
 }
 
-std::uint64_t LeaseAllowance::partOf(double share) const {
+std::uint64_t LeaseAllowance::tokensOfShare(double share) const {
   return static_cast<std::uint64_t>(share * static_cast<double>(budget_));
 }
 
-bool LeaseAllowance::allows(BudgetLeaseSlot slot, std::uint64_t ahead, std::uint64_t tokens) const {
+bool LeaseAllowance::allows(BudgetLeaseSlot slot, std::uint64_t unrecorded,
+                            std::uint64_t tokens) const {
   const LeaseShares& shares = knobs_.sharesOf(slot);
-  const bool withinShare = ahead + tokens <= partOf(shares.share);
-  return withinShare || (ahead == 0 && tokens <= partOf(shares.singleTurnShare));
+  const bool withinShare = unrecorded + tokens <= tokensOfShare(shares.share);
+  return withinShare || (unrecorded == 0 && tokens <= tokensOfShare(shares.singleTurnShare));
 }
 
-std::uint64_t LeaseAllowance::mostSpentUnder(BudgetLeaseSlot slot,
-                                             std::uint64_t largestTurn) const {
+std::uint64_t LeaseAllowance::maxSpentUnder(BudgetLeaseSlot slot, std::uint64_t largestTurn) const {
   const LeaseShares& shares = knobs_.sharesOf(slot);
-  return std::max(partOf(shares.share), std::min(largestTurn, partOf(shares.singleTurnShare)));
+  return std::max(tokensOfShare(shares.share),
+                  std::min(largestTurn, tokensOfShare(shares.singleTurnShare)));
 }
 
-std::uint64_t LeaseAllowance::mostSpent(UnseenSpending spending, std::uint64_t largestTurn) const {
-  const std::uint64_t primary = mostSpentUnder(BudgetLeaseSlot::Primary, largestTurn);
-  const std::uint64_t secondary = mostSpentUnder(BudgetLeaseSlot::Secondary, largestTurn);
+std::uint64_t LeaseAllowance::maxSpent(UnseenSpending spending, std::uint64_t largestTurn) const {
+  const std::uint64_t primary = maxSpentUnder(BudgetLeaseSlot::Primary, largestTurn);
+  const std::uint64_t secondary = maxSpentUnder(BudgetLeaseSlot::Secondary, largestTurn);
   switch (spending) {
     case UnseenSpending::None:
       return 0;
--- a/src/ledger/budget_lease_table.h
+++ b/src/ledger/budget_lease_table.h
@@ -1,4 +1,5 @@
-/// \file Which homes may have spent tokens that do not stand in a budget partition's log. No I/O.
+/// \file The budget leases of one partition: which nodes may have spent tokens that are not
+/// recorded in its log. No I/O.
 #pragma once
 
 #include <array>
@@ -14,148 +15,159 @@
 
 namespace gorsetrail::ledger {
 
-/// Of a program's budget: what a lease lets its holder spend ahead of the records.
+/// The fractions of a program's budget that a lease holder may spend before it records the
+/// reservations.
 struct LeaseShares {
   double share = 0.0;
-  /// A single turn may be larger than `share`, up to this share, when nothing else is ahead.
+  /// The limit for a single turn while the program has no other unrecorded tokens under the lease.
   double singleTurnShare = 0.0;
 };
 
-/// Knobs of budget leases. The shares and times are part of the format: what one node spends by
-/// them, the others count by them. Note 0011 has the arithmetic.
+/// Limits and times of budget leases. All nodes must use the same shares and times: what a holder
+/// may spend is what the other nodes count against the budget. Note 0011 has the arithmetic.
 struct BudgetLeaseKnobs {
   bool enabled = true;
   LeaseShares primary{0.45, 0.7};
-  /// Beside both shares 0.4 of the budget is left to who counts both; the median program uses 0.21
-  /// to 0.23 of its budget in all (note 0011). Its single turn fits the primary share.
+  /// The shares leave 0.4 of the budget to a node that counts both leases. The secondary lease's
+  /// single turn must fit the primary share.
   LeaseShares secondary{0.15, 0.15};
-  /// A holder spends under its lease for so long after it asked for the last record of it.
+  /// The holder may spend under its lease until this long after it requested the last record of it.
   Duration validity = seconds(20);
-  /// Others count a lease as ended so long after they read its last record.
+  /// Other nodes treat a lease as ended this long after they read its last record. Longer than
+  /// `validity`, so that the holder stops first.
   Duration expiry = seconds(24);
-  /// Only programs that should be over within this, and are not yet, spend under a lease.
-  Duration longestProgramTime = seconds(10);
-  /// A call is decided at most this long after its program's remaining time was told.
-  Duration longestCall = seconds(4);
-  /// Accounts are forgotten after so long, and so is what a cleared lease may have spent.
-  Duration memory = seconds(300);
+  /// A lease is used only for programs whose remaining time is positive and at most this.
+  Duration maxRemainingProgramTime = seconds(10);
+  /// The maximum time between the receipt of a program's remaining time and the decision by the
+  /// log.
+  Duration maxDecisionDelay = seconds(4);
+  /// How long the possible spending under cleared leases is counted against overdue programs.
+  Duration retention = seconds(300);
 
   [[nodiscard]] const LeaseShares& sharesOf(BudgetLeaseSlot slot) const {
     return slot == BudgetLeaseSlot::Primary ? primary : secondary;
   }
 };
 
-/// Above the offset of any record.
-inline constexpr std::uint64_t kEverythingRead = UINT64_MAX;
-
-/// The leases of one partition as its log tells them, and how long ago this node read it.
-///
-/// A lease goes from held by way of ended to cleared:
-/// - *held*: its holder may have spent up to its slot's share of any timely program's budget
-/// unseen;
-/// - *ended*: its holder's process is dead, or its validity is over. Nothing more will be spent,
-///   but it is not known what was;
-/// - *cleared*: it was given back after all under it was recorded, and owes nothing; or it ended so
-///   long ago that every program that spent under it should be over by now. One that is not over
-///   yet has begun later and owes it nothing.
-/// Two leases are in force at most: the record of a new one enters the primary slot, or the
-/// secondary one while the lease in the primary slot has ended, or is void. A renewal of the
-/// secondary lease moves it up when the primary slot is free. The log's order decides, so all
-/// readers agree. So a program can have spent under two leases at most, those that were uncleared
-/// at one time: a later one is taken when the program should be over, and then it spends under
-/// none.
+/// An offset above that of any record.
+inline constexpr std::uint64_t kMaxOffset = UINT64_MAX;
+
+/// The state machine of the budget leases of one partition, driven by the records in its log. A
+/// lease passes through these states in order:
+/// - *held*: the holder may have spent up to its slot's share of the budget of any program that is
+///   not overdue, without a record;
+/// - *ended*: the holder's process is dead, or the lease has expired. Nothing more will be spent,
+///   but the amount already spent is unknown;
+/// - *cleared*: the holder released the lease after it had recorded everything spent under it, or
+///   the lease ended so long ago that every program that spent under it should be over. A program
+///   that is not overdue then started later and cannot have spent under the lease.
+/// At most two leases are active (not cleared). The record of a new lease takes the primary slot,
+/// or the secondary slot if the primary lease has ended; otherwise the record is void. A renewal
+/// promotes the secondary lease once the primary slot is free. The order of the log decides, so all
+/// readers agree. A program can have spent under at most two leases, because a third one is only
+/// granted when the program should be over.
 class BudgetLeaseTable {
  public:
   explicit BudgetLeaseTable(BudgetLeaseKnobs knobs) : knobs_(knobs) {}
 
-  /// Records are to be told in the order of the log, so that all nodes come to the same states.
-  void onRecord(const BudgetLease& record, std::uint64_t offset, Instant now);
-
-  /// \param ownLease the lease of this node itself, whose spending it knows; empty: none.
-  /// \param isTimely the program should not be over yet.
-  /// \param below only the spending recorded below this offset is counted otherwise:
-  /// `kEverythingRead`, or for a reservation the offset of its record. What was spent under a lease
-  /// is recorded before its end, so a lease that was cleared at `below` or behind it counts;
-  /// without this, grants recorded between the reservation and the lease's end are counted by
-  /// nobody. \return under which leases the program may have spent tokens unseen.
-  [[nodiscard]] UnseenSpending unseenSpending(const std::string& ownLease, bool isTimely,
+  /// Applies a record. Call it in the order of the log, so that all nodes reach the same states.
+  void applyRecord(const BudgetLease& record, std::uint64_t offset, Instant now);
+
+  /// \param ownLease this node's lease, which is not counted because its spending is known; empty:
+  /// none.
+  /// \param hasTimeLeft whether the program's declared time has not run out.
+  /// \param below all spending recorded below this offset is counted elsewhere: `kMaxOffset`, or
+  /// for a reservation the offset of its own record. A lease that was cleared at or after `below`
+  /// still counts, because the grants recorded between the reservation and the end of the lease
+  /// would otherwise be counted by nobody.
+  /// \return the leases under which the program may have spent tokens without a record.
+  [[nodiscard]] UnseenSpending unseenSpending(const std::string& ownLease, bool hasTimeLeft,
                                               std::uint64_t below, Instant now) const;
 
-  /// \return whether `ownLease` is in force, or its first record would enter a slot.
+  /// \return whether `ownLease` is active, or its first record would take a slot.
   [[nodiscard]] bool hasSlotFor(const std::string& ownLease) const;
-  /// \return whether a renewal would move the lease from the secondary to the primary slot.
-  [[nodiscard]] bool canMoveUp(const std::string& lease) const;
+  /// \return whether a renewal would promote the lease from the secondary to the primary slot.
+  [[nodiscard]] bool canPromote(const std::string& lease) const;
 
-  /// \return the record that the home should append now: that an earlier life of `ownHolder` or an
-  /// expired lease has ended, or that one which ended long enough ago is cleared.
-  [[nodiscard]] std::optional<BudgetLease> due(const std::string& ownLease,
-                                               const std::string& ownHolder, Instant now) const;
+  /// \return the record that the partition's coordinator should append next, if any: the end of a
+  /// lease of an earlier process of `ownHolder` or of an expired lease, or the clearing of a lease
+  /// that ended long enough ago.
+  [[nodiscard]] std::optional<BudgetLease> nextTransition(const std::string& ownLease,
+                                                          const std::string& ownHolder,
+                                                          Instant now) const;
 
-  /// \return the state as last read; nothing for an unknown or void lease.
+  /// \return the last state read; nothing for an unknown or void lease.
   [[nodiscard]] std::optional<BudgetLeaseState> stateOf(const std::string& lease) const;
-  /// \return the slot of a lease that is in force.
+  /// \return the slot of an active lease.
   [[nodiscard]] std::optional<BudgetLeaseSlot> slotOf(const std::string& lease) const;
 
-  /// Forgets leases that were cleared long ago.
-  void forgetOld(Instant now);
+  /// Removes leases that were cleared longer than the retention ago.
+  void evictCleared(Instant now);
   [[nodiscard]] std::size_t size() const { return leases_.size(); }
 
  private:
   struct Entry {
     std::string holder;
     BudgetLeaseState state = BudgetLeaseState::Held;
-    Instant since;  ///< When the state, or the newest record of a held lease, was read.
-    std::uint64_t clearedAt = kEverythingRead;  ///< Offset of the record that cleared it.
+    Instant updatedAt;  ///< When the state, or the newest record of a held lease, was read.
+    std::uint64_t clearedOffset = kMaxOffset;  ///< Offset of the record that cleared it.
     std::uint64_t renewal = 0;
     BudgetLeaseSlot slot = BudgetLeaseSlot::Primary;
-    /// When a lease beside it was cleared that had ended: late programs may have spent under both.
+    /// When another lease that had ended was cleared while this one was active: an overdue program
+    /// may have spent under both.
     std::optional<Instant> overlappedAt;
   };
   using Leases = std::map<std::string, Entry>;
 
-  /// \return the lease in the slot that is held or ended, or the end.
-  [[nodiscard]] Leases::const_iterator inForce(BudgetLeaseSlot slot) const;
-  [[nodiscard]] bool isFree(BudgetLeaseSlot slot) const { return inForce(slot) == leases_.end(); }
-  /// \return the slot that the first record of a lease enters; nothing: the record is void.
-  [[nodiscard]] std::optional<BudgetLeaseSlot> slotForNew() const;
-  void onNewLease(const BudgetLease& record, std::uint64_t offset, Instant now);
-  void clearEnded(const Entry& cleared, Instant now);
-  void notePast(UnseenSpending spending, Instant now);
-  [[nodiscard]] bool isRemembered(const std::optional<Instant>& moment, Instant now) const;
-  /// \return whether the lease of another node was not cleared by a record below the offset.
-  [[nodiscard]] static bool isForeign(const Leases::value_type& lease, const std::string& ownLease,
-                                      std::uint64_t below) {
-    return lease.first != ownLease && lease.second.clearedAt >= below;
+  /// \return the held or ended lease in the slot, or the end iterator.
+  [[nodiscard]] Leases::const_iterator activeLease(BudgetLeaseSlot slot) const;
+  [[nodiscard]] bool isSlotFree(BudgetLeaseSlot slot) const {
+    return activeLease(slot) == leases_.end();
   }
-  [[nodiscard]] UnseenSpending lateSpending(const std::string& ownLease, std::uint64_t below,
-                                            Instant now) const;
-  [[nodiscard]] std::optional<BudgetLease> dueOf(const Leases::value_type& lease,
-                                                 const std::string& ownHolder, Instant now) const;
+  /// \return the slot that the first record of a lease takes; nothing if the record is void.
+  [[nodiscard]] std::optional<BudgetLeaseSlot> slotForNewLease() const;
+  void addLease(const BudgetLease& record, std::uint64_t offset, Instant now);
+  void onEndedLeaseCleared(const Entry& cleared, Instant now);
+  void recordClearedSpending(UnseenSpending spending, Instant now);
+  [[nodiscard]] bool isWithinRetention(const std::optional<Instant>& moment, Instant now) const;
+  /// \return whether the lease belongs to another node and was not cleared by a record below the
+  /// offset.
+  [[nodiscard]] static bool isUnclearedForeign(const Leases::value_type& lease,
+                                               const std::string& ownLease, std::uint64_t below) {
+    return lease.first != ownLease && lease.second.clearedOffset >= below;
+  }
+  [[nodiscard]] UnseenSpending overdueSpending(const std::string& ownLease, std::uint64_t below,
+                                               Instant now) const;
+  [[nodiscard]] std::optional<BudgetLease> nextTransitionOf(const Leases::value_type& lease,
+                                                            const std::string& ownHolder,
+                                                            Instant now) const;
 
   BudgetLeaseKnobs knobs_;
   Leases leases_;
-  /// When a lease that had ended, or a pair of them, was last cleared; by `UnseenSpending`.
-  std::array<std::optional<Instant>, 4> past_;
+  /// When ended leases were last cleared, indexed by `UnseenSpending`.
+  std::array<std::optional<Instant>, 4> lastClearedAt_;
 };
 
-/// What leases let their holders spend on a program with this budget.
+/// Computes how many tokens of a program with the given budget may be spent under leases.
 class LeaseAllowance {
  public:
   LeaseAllowance(const BudgetLeaseKnobs& knobs, std::uint64_t budget)
       : knobs_(knobs), budget_(budget) {}
 
-  /// \param ahead tokens of the program that are spent under the lease and not recorded.
-  /// \return whether a turn of at most `tokens` fits under a lease of the slot as well.
-  [[nodiscard]] bool allows(BudgetLeaseSlot slot, std::uint64_t ahead, std::uint64_t tokens) const;
+  /// \param unrecorded tokens of the program that were granted under the lease and are not recorded
+  /// yet.
+  /// \return whether a further turn of at most `tokens` is covered by a lease of the slot.
+  [[nodiscard]] bool allows(BudgetLeaseSlot slot, std::uint64_t unrecorded,
+                            std::uint64_t tokens) const;
 
-  /// \param largestTurn the most that a turn of the program generates, as far as is known.
-  /// \return the most that may have been spent under the leases, less what a larger turn was above
-  /// `largestTurn`: the rule allows one turn above the budget.
-  [[nodiscard]] std::uint64_t mostSpent(UnseenSpending spending, std::uint64_t largestTurn) const;
+  /// \param largestTurn upper bound of the tokens of one turn of the program, as far as known.
+  /// \return the maximum that may have been spent under the leases. The part of a single turn above
+  /// `largestTurn` is left out, because a program may exceed its budget by one turn.
+  [[nodiscard]] std::uint64_t maxSpent(UnseenSpending spending, std::uint64_t largestTurn) const;
 
  private:
-  [[nodiscard]] std::uint64_t partOf(double share) const;
-  [[nodiscard]] std::uint64_t mostSpentUnder(BudgetLeaseSlot slot, std::uint64_t largestTurn) const;
+  [[nodiscard]] std::uint64_t tokensOfShare(double share) const;
+  [[nodiscard]] std::uint64_t maxSpentUnder(BudgetLeaseSlot slot, std::uint64_t largestTurn) const;
 
   const BudgetLeaseKnobs& knobs_;
   std::uint64_t budget_;
--- a/src/ledger/budget_partition.cpp
+++ b/src/ledger/budget_partition.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr Duration kRecordTimeLimit = milliseconds(1500);
-/// \return whether the program should not be over yet.
-bool isTimely(const BudgetRequest& request) {
+/// \return whether the program's declared time has not run out.
+bool hasTimeLeft(const BudgetRequest& request) {
   return request.programTimeLeft && *request.programTimeLeft > Duration::zero();
 }
 
-/// A lease is renewed when this part of its validity is over.
+/// A lease is renewed once 1/kRenewalsPerValidity of its validity has passed.
 constexpr int kRenewalsPerValidity = 3;
 
 }  // namespace
@@ -29,7 +29,7 @@
       batcher_(std::make_unique<logstore::AppendBatcher>(store, timers, clock_, address_,
                                                          logstore::AppendBatcherKnobs{})),
       leases_(knobs_.leases) {
-  reader_->observe(
+  reader_->setObserver(
       [this](std::uint64_t offset, std::string_view record) { onRecord(offset, record); });
 }
 
@@ -40,181 +40,190 @@
   }
   const Fact& fact = valueOf(decoded);
   if (const auto* const reservation = std::get_if<BudgetReservation>(&fact)) {
-    accounts_.onReservation(*reservation, offset, clock_());
+    accounts_.applyReservation(*reservation, offset, clock_());
   } else if (const auto* const settlement = std::get_if<BudgetSettlement>(&fact)) {
-    accounts_.onSettlement(*settlement, clock_());
+    accounts_.applySettlement(*settlement, clock_());
   } else if (const auto* const lease = std::get_if<BudgetLease>(&fact)) {
-    leases_.onRecord(*lease, offset, clock_());
+    leases_.applyRecord(*lease, offset, clock_());
     if (lease->lease == ownLease() && lease->state != BudgetLeaseState::Held) {
-      dropLease();  // Others took this node for dead, since it was not renewed for long.
+      dropLease();  // Another node ended the lease because it was not renewed in time.
     }
   }
 }
 
 bool BudgetPartition::holdsLease() const {
-  return lease_ && !givingBack_ && clock_() < lease_->validUntil;
+  return lease_ && !releasing_ && clock_() < lease_->validUntil;
 }
 
 void BudgetPartition::reserve(const BudgetRequest& request, Duration timeLimit,
                               ReservationReplyCallback callback) {
-  if (const std::optional<ReservationReply> reply = reserveAhead(request)) {
+  if (const std::optional<ReservationReply> reply = reserveUnderLease(request)) {
     callback(*reply);
     return;
   }
   if (!store_.answers(address_)) {
-    callback(undecidable(request));  // Waiting would only hold up who asked.
+    callback(undecidedReply(request));  // Waiting would only delay the caller.
     return;
   }
   reserveInLog(request, timeLimit, std::move(callback));
 }
 
-ReservationReply BudgetPartition::undecidable(const BudgetRequest& request) const {
-  const UnseenTokens unseen = mostSpentUnseen(request, kEverythingRead);
+ReservationReply BudgetPartition::undecidedReply(const BudgetRequest& request) const {
+  const UnrecordedTokens unseen = maxUnrecordedByOthers(request, kMaxOffset);
   ReservationReply reply;
-  reply.tokensUsed = usedBesides(request.reservation);
+  reply.tokensUsed = tokensUsedByOthers(request.reservation);
   reply.reason = holdsLease() ? UndecidedReason::LeaseInsufficient : UndecidedReason::NoLease;
   reply.unseenLeases = unseen.leases;
-  reply.tokensUnseen = unseen.most;
+  reply.tokensUnseen = unseen.maxTokens;
   return reply;
 }
 
-std::optional<ReservationReply> BudgetPartition::reserveAhead(const BudgetRequest& request) {
-  const BudgetReservation& wanted = request.reservation;
-  const bool isShort =
-      isTimely(request) && *request.programTimeLeft <= knobs_.leases.longestProgramTime;
-  if (!holdsLease() || !isShort) {
+std::optional<ReservationReply> BudgetPartition::reserveUnderLease(const BudgetRequest& request) {
+  const BudgetReservation& reservation = request.reservation;
+  const bool isLeaseAllowed =
+      hasTimeLeft(request) && *request.programTimeLeft <= knobs_.leases.maxRemainingProgramTime;
+  if (!holdsLease() || !isLeaseAllowed) {
     return std::nullopt;
   }
   const LeaseAllowance allowance(knobs_.leases, request.budget);
-  if (!allowance.allows(lease_->slot, spentAhead(wanted.program), wanted.tokens)) {
+  if (!allowance.allows(lease_->slot, unrecordedTokensOf(reservation.program),
+                        reservation.tokens)) {
     return std::nullopt;
   }
-  // Records and ends of leases are counted up to one and the same offset, the end of what was read.
-  // Of later reservations each counts this lease, until its end stands before them.
-  const std::uint64_t used = usedBesides(wanted);
-  const std::uint64_t unseen = mostSpentUnseen(request, kEverythingRead).most;
-  // The rule leaves room for one turn above the budget; it is used only for what was not seen.
-  if (used + std::max(wanted.tokens, unseen) > request.budget) {
+  // Records and lease states are both counted up to the end of what was read. Every later
+  // reservation counts this lease until its end precedes the reservation in the log.
+  const std::uint64_t used = tokensUsedByOthers(reservation);
+  const std::uint64_t unseen = maxUnrecordedByOthers(request, kMaxOffset).maxTokens;
+  // A program may exceed its budget by one turn, but only through unrecorded spending of others.
+  if (used + std::max(reservation.tokens, unseen) > request.budget) {
     return std::nullopt;
   }
-  accounts_.onReservation(wanted, 0, clock_());
-  if (ahead_.try_emplace(wanted.request, Ahead{wanted, std::nullopt, false}).second) {
-    aheadByProgram_[wanted.program].push_back(wanted.request);
+  accounts_.applyReservation(reservation, 0, clock_());
+  if (unrecordedGrants_
+          .try_emplace(reservation.request, UnrecordedGrant{reservation, std::nullopt, false})
+          .second) {
+    unrecordedByProgram_[reservation.program].push_back(reservation.request);
   }
   scheduleRecording();
   const bool isPrimary = lease_->slot == BudgetLeaseSlot::Primary;
   ++(isPrimary ? counters_.grantedAhead : counters_.grantedAheadSecondary);
-  return ReservationReply{ReservationOutcome::Granted, used + wanted.tokens};
+  return ReservationReply{ReservationOutcome::Granted, used + reservation.tokens};
 }
 
-std::uint64_t BudgetPartition::spentAhead(const std::string& program) const {
-  const auto requests = aheadByProgram_.find(program);
-  if (requests == aheadByProgram_.end()) {
+std::uint64_t BudgetPartition::unrecordedTokensOf(const std::string& program) const {
+  const auto requests = unrecordedByProgram_.find(program);
+  if (requests == unrecordedByProgram_.end()) {
     return 0;
   }
   std::uint64_t tokens = 0;
   for (const std::string& request : requests->second) {
-    const Ahead& grant = ahead_.at(request);
+    const UnrecordedGrant& grant = unrecordedGrants_.at(request);
     tokens += grant.settlement ? grant.settlement->tokens : grant.reservation.tokens;
   }
   return tokens;
 }
 
-BudgetPartition::UnseenTokens BudgetPartition::mostSpentUnseen(const BudgetRequest& request,
-                                                               std::uint64_t below) const {
+BudgetPartition::UnrecordedTokens BudgetPartition::maxUnrecordedByOthers(
+    const BudgetRequest& request, std::uint64_t below) const {
   const std::string& program = request.reservation.program;
   const UnseenSpending unseen =
-      leases_.unseenSpending(ownLease(), isTimely(request), below, clock_());
+      leases_.unseenSpending(ownLease(), hasTimeLeft(request), below, clock_());
   const std::uint64_t largestTurn =
       std::max(request.reservation.tokens, accounts_.largestReservationOf(program));
-  return {unseen, LeaseAllowance(knobs_.leases, request.budget).mostSpent(unseen, largestTurn)};
+  return {unseen, LeaseAllowance(knobs_.leases, request.budget).maxSpent(unseen, largestTurn)};
 }
 
 void BudgetPartition::reserveInLog(const BudgetRequest& request, Duration timeLimit,
                                    ReservationReplyCallback callback) {
   const Instant askedAt = clock_();
-  batcher_->append(encodeFact(request.reservation), knobs_.reservationWindow, timeLimit,
-                   [this, request, askedAt, callback = std::move(callback)](
-                       const logstore::StoreResult<std::uint64_t>& result) {
-                     if (std::holds_alternative<logstore::StoreError>(result)) {
-                       callback({ReservationOutcome::Unavailable, usedBesides(request.reservation),
-                                 UndecidedReason::AppendFailed});
-                       return;
-                     }
-                     const std::uint64_t offset = std::get<std::uint64_t>(result);
-                     accounts_.onReservation(request.reservation, offset, clock_());
-                     reader_->noteOwnRecords(offset, 1);
-                     reader_->readBelow(offset, [this, request, askedAt, offset, callback](
-                                                    const logstore::StoreResult<Success>& read) {
-                       const bool known = std::holds_alternative<Success>(read);
-                       callback(known ? decideByLog(request, askedAt, offset)
-                                      : ReservationReply{ReservationOutcome::Unavailable,
-                                                         usedBesides(request.reservation),
-                                                         UndecidedReason::ReadFailed});
-                     });
-                   });
+  batcher_->append(
+      encodeFact(request.reservation), knobs_.reservationWindow, timeLimit,
+      [this, request, askedAt,
+       callback = std::move(callback)](const logstore::StoreResult<std::uint64_t>& result) {
+        if (std::holds_alternative<logstore::StoreError>(result)) {
+          callback({ReservationOutcome::Unavailable, tokensUsedByOthers(request.reservation),
+                    UndecidedReason::AppendFailed});
+          return;
+        }
+        const std::uint64_t offset = std::get<std::uint64_t>(result);
+        accounts_.applyReservation(request.reservation, offset, clock_());
+        reader_->skipOwnRecords(offset, 1);
+        reader_->readBelow(offset, [this, request, askedAt, offset,
+                                    callback](const logstore::StoreResult<Success>& read) {
+          const bool readAll = std::holds_alternative<Success>(read);
+          callback(readAll ? decideByLog(request, askedAt, offset)
+                           : ReservationReply{ReservationOutcome::Unavailable,
+                                              tokensUsedByOthers(request.reservation),
+                                              UndecidedReason::ReadFailed});
+        });
+      });
 }
 
 ReservationReply BudgetPartition::decideByLog(const BudgetRequest& request, Instant askedAt,
                                               std::uint64_t offset) {
-  const BudgetReservation& wanted = request.reservation;
-  // Leases are cleared when programs that spent under them should be over, by what they told. This
-  // one's time may be over by now: after a pause of the process it would be taken for a new one.
-  if (clock_() - askedAt > knobs_.leases.longestCall) {
+  const BudgetReservation& reservation = request.reservation;
+  // Leases are cleared when the programs that spent under them should be over, by their declared
+  // time. After a long pause of this process the declared time is stale, and the program would be
+  // taken for one that started after the clearing.
+  if (clock_() - askedAt > knobs_.leases.maxDecisionDelay) {
     ++counters_.decidedTooLate;
-    return {ReservationOutcome::Unavailable, usedBesides(wanted), UndecidedReason::DecidedTooLate};
+    return {ReservationOutcome::Unavailable, tokensUsedByOthers(reservation),
+            UndecidedReason::DecidedTooLate};
   }
-  const std::uint64_t before = accounts_.usedBefore(wanted.program, wanted.request, offset);
-  if (before + wanted.tokens > request.budget) {
+  const std::uint64_t before =
+      accounts_.tokensUsedBefore(reservation.program, reservation.request, offset);
+  if (before + reservation.tokens > request.budget) {
     ++counters_.spent;
     return {ReservationOutcome::Spent, before};
   }
-  const UnseenTokens unseen = mostSpentUnseen(request, offset);
-  if (before + unseen.most > request.budget) {
+  const UnrecordedTokens unseen = maxUnrecordedByOthers(request, offset);
+  if (before + unseen.maxTokens > request.budget) {
     ++counters_.uncertain;
     return {ReservationOutcome::Unavailable, before, UndecidedReason::UnseenSpending, unseen.leases,
-            unseen.most};
+            unseen.maxTokens};
   }
   ++counters_.grantedByLog;
-  return {ReservationOutcome::Granted, before + wanted.tokens};
+  return {ReservationOutcome::Granted, before + reservation.tokens};
 }
 
 void BudgetPartition::settle(const BudgetSettlement& settlement) {
-  accounts_.onSettlement(settlement, clock_());
-  const auto granted = ahead_.find(settlement.request);
-  if (granted != ahead_.end()) {
-    granted->second.settlement = settlement;  // It follows the reservation's record.
+  accounts_.applySettlement(settlement, clock_());
+  const auto granted = unrecordedGrants_.find(settlement.request);
+  if (granted != unrecordedGrants_.end()) {
+    granted->second.settlement =
+        settlement;  // It is appended with or after the reservation's record.
   } else {
     appendSettlement(settlement);
   }
 }
 
 void BudgetPartition::appendSettlement(const BudgetSettlement& settlement) {
-  // A settlement that is lost leaves its reservation standing: too much is counted, never less.
+  // If the settlement is lost, the full reservation stays counted: an overestimate, never an
+  // underestimate.
   batcher_->append(encodeFact(settlement), knobs_.settlementWindow, kRecordTimeLimit,
                    [reader = reader_](const logstore::StoreResult<std::uint64_t>& result) {
                      if (const auto* const offset = std::get_if<std::uint64_t>(&result)) {
-                       reader->noteOwnRecords(*offset, 1);
+                       reader->skipOwnRecords(*offset, 1);
                      }
                    });
 }
 
 void BudgetPartition::scheduleRecording() {
-  if (recordingScheduled_ || ahead_.empty()) {
+  if (recordingScheduled_ || unrecordedGrants_.empty()) {
     return;
   }
   recordingScheduled_ = true;
-  timers_.runAfter(knobs_.recordingPeriod, [this] {
+  timers_.runAfter(knobs_.recordingInterval, [this] {
     recordingScheduled_ = false;
     if (store_.answers(address_)) {
-      recordAhead();
+      recordGrants();
     }
     scheduleRecording();
   });
 }
 
-void BudgetPartition::recordAhead() {
-  for (auto& [request, grant] : ahead_) {
+void BudgetPartition::recordGrants() {
+  for (auto& [request, grant] : unrecordedGrants_) {
     if (grant.recording) {
       continue;
     }
@@ -229,7 +238,7 @@
       batcher_->append(encodeFact(*grant.settlement), Duration::zero(), kRecordTimeLimit,
                        [reader = reader_](const logstore::StoreResult<std::uint64_t>& result) {
                          if (const auto* const offset = std::get_if<std::uint64_t>(&result)) {
-                           reader->noteOwnRecords(*offset, 1);
+                           reader->skipOwnRecords(*offset, 1);
                          }
                        });
     }
@@ -240,45 +249,46 @@
                                  const logstore::StoreResult<std::uint64_t>& result) {
   const auto* const offset = std::get_if<std::uint64_t>(&result);
   if (offset == nullptr) {
-    ahead_.at(request).recording = false;  // It is appended again.
+    unrecordedGrants_.at(request).recording = false;  // It is appended again by the next recording.
     return;
   }
-  reader_->noteOwnRecords(*offset, 1);
+  reader_->skipOwnRecords(*offset, 1);
   reader_->readBelow(
       *offset, [this, request, withSettlement](const logstore::StoreResult<Success>& read) {
         if (std::holds_alternative<logstore::StoreError>(read)) {
-          ahead_.at(request).recording = false;
+          unrecordedGrants_.at(request).recording = false;
           return;
         }
-        const std::optional<BudgetSettlement> settlement = ahead_.at(request).settlement;
-        forgetAhead(request);
+        const std::optional<BudgetSettlement> settlement = unrecordedGrants_.at(request).settlement;
+        removeGrant(request);
         if (settlement && !withSettlement) {
           appendSettlement(*settlement);
         }
-        if (givingBack_ && ahead_.empty()) {
-          giveLeaseBack();  // The partition's next home waits for it.
+        if (releasing_ && unrecordedGrants_.empty()) {
+          releaseLease();  // The next coordinator waits for the release.
         }
       });
 }
 
-void BudgetPartition::forgetAhead(const std::string& request) {
-  const auto granted = ahead_.find(request);
-  const auto program = aheadByProgram_.find(granted->second.reservation.program);
+void BudgetPartition::removeGrant(const std::string& request) {
+  const auto granted = unrecordedGrants_.find(request);
+  const auto program = unrecordedByProgram_.find(granted->second.reservation.program);
   std::erase(program->second, request);
   if (program->second.empty()) {
-    aheadByProgram_.erase(program);
+    unrecordedByProgram_.erase(program);
   }
-  ahead_.erase(granted);
+  unrecordedGrants_.erase(granted);
 }
 
 std::string BudgetPartition::leaseId() const {
   return knobs_.holder + "/" + knobs_.life + "/" + std::to_string(leaseNumber_);
 }
 
-// The record is read like any other, in its place among those of other homes. It waits for others
-// no longer than a reservation: until it stands, an outage finds the partition without a lease.
+// The lease takes effect when its record is read in log order, among those of other nodes. The
+// record uses the short window of a reservation, since without a lease the partition cannot grant
+// anything in an outage.
 void BudgetPartition::appendLease(const BudgetLease& record,
-                                  std::function<void(bool stands)> onRead) {
+                                  std::function<void(bool appended)> onRead) {
   batcher_->append(
       encodeFact(record), knobs_.reservationWindow, kRecordTimeLimit,
       [this, onRead = std::move(onRead)](const logstore::StoreResult<std::uint64_t>& result) {
@@ -293,97 +303,98 @@
       });
 }
 
-void BudgetPartition::keepLease() {
-  if (!knobs_.leases.enabled || knobs_.life.empty() || leaseAsked_ || !store_.answers(address_)) {
+void BudgetPartition::maintainLease() {
+  if (!knobs_.leases.enabled || knobs_.life.empty() || leaseAppendPending_ ||
+      !store_.answers(address_)) {
     return;
   }
-  givingBack_ = false;
-  keepsLease_ = true;
+  releasing_ = false;
+  isCoordinator_ = true;
   if (isRenewalDue() && leases_.hasSlotFor(leaseId())) {
-    takeLease();
+    acquireOrRenewLease();
   }
-  endAndClearOthers();
+  advanceOtherLeases();
 }
 
 bool BudgetPartition::isRenewalDue() const {
-  if (!lease_ || leases_.canMoveUp(lease_->id)) {
+  if (!lease_ || leases_.canPromote(lease_->id)) {
     return true;
   }
-  const Duration pause = knobs_.leases.validity / kRenewalsPerValidity;
-  return lease_->validUntil - clock_() <= knobs_.leases.validity - pause;
+  const Duration renewalInterval = knobs_.leases.validity / kRenewalsPerValidity;
+  return lease_->validUntil - clock_() <= knobs_.leases.validity - renewalInterval;
 }
 
-void BudgetPartition::endAndClearOthers() {
+void BudgetPartition::advanceOtherLeases() {
   const Instant now = clock_();
-  const std::optional<BudgetLease> due = leases_.due(leaseId(), knobs_.holder, now);
-  if (due && !clearing_) {
-    clearing_ = true;
-    appendLease(*due, [this](bool stands) {
-      clearing_ = false;
-      if (stands && keepsLease_ && !lease_) {
-        keepLease();  // A slot may be free now.
+  const std::optional<BudgetLease> transition =
+      leases_.nextTransition(leaseId(), knobs_.holder, now);
+  if (transition && !transitionPending_) {
+    transitionPending_ = true;
+    appendLease(*transition, [this](bool appended) {
+      transitionPending_ = false;
+      if (appended && isCoordinator_ && !lease_) {
+        maintainLease();  // A slot may be free now.
       }
     });
-  } else if (leases_.unseenSpending(ownLease(), true, kEverythingRead, now) !=
-             UnseenSpending::None) {
-    // What others record of their leases is to be known when it stands.
+  } else if (leases_.unseenSpending(ownLease(), true, kMaxOffset, now) != UnseenSpending::None) {
+    // Reads lease records of other nodes soon after they are appended.
     reader_->readToEnd([](const logstore::StoreResult<Success>& /*read*/) {});
   }
 }
 
-void BudgetPartition::takeLease() {
-  leaseAsked_ = true;
+void BudgetPartition::acquireOrRenewLease() {
+  leaseAppendPending_ = true;
   const Instant askedAt = clock_();
   const std::string id = leaseId();
   const BudgetLeaseSlot slot = lease_ ? lease_->slot : BudgetLeaseSlot::Primary;
   appendLease({id, knobs_.holder, BudgetLeaseState::Held, ++renewal_, slot},
-              [this, id, askedAt](bool stands) {
-                leaseAsked_ = false;
-                if (stands && id == leaseId()) {
-                  onLeaseRead(id, askedAt);
+              [this, id, askedAt](bool appended) {
+                leaseAppendPending_ = false;
+                if (appended && id == leaseId()) {
+                  onLeaseRecordRead(id, askedAt);
                 }
               });
 }
 
-void BudgetPartition::onLeaseRead(const std::string& id, Instant askedAt) {
+void BudgetPartition::onLeaseRecordRead(const std::string& id, Instant askedAt) {
   const std::optional<BudgetLeaseSlot> slot = leases_.slotOf(id);
   if (!slot || leases_.stateOf(id) != BudgetLeaseState::Held) {
-    dropLease();  // Another one was held before it, or two were in force.
-    // Where the other one is that of this address's earlier process, it ends now, so that this one
-    // can take a slot at once.
-    endAndClearOthers();
+    dropLease();  // Another lease was held before it, or both slots were taken.
+    // If the other lease belongs to an earlier process of this node, it is ended now so that this
+    // process can get a slot immediately.
+    advanceOtherLeases();
     return;
   }
-  const bool isNews = !lease_ || lease_->slot != *slot;
+  const bool hasChanged = !lease_ || lease_->slot != *slot;
   lease_ = Lease{id, askedAt + knobs_.leases.validity, *slot};
-  if (isNews) {
-    tellOwnLease(BudgetLeaseState::Held);
+  if (hasChanged) {
+    reportOwnLease(BudgetLeaseState::Held);
   }
 }
 
-void BudgetPartition::giveLeaseBack() {
-  keepsLease_ = false;
-  if (!lease_ || leaseAsked_) {
+void BudgetPartition::releaseLease() {
+  isCoordinator_ = false;
+  if (!lease_ || leaseAppendPending_) {
     return;
   }
-  givingBack_ = true;
+  releasing_ = true;
   if (!store_.answers(address_)) {
     return;
   }
-  if (!ahead_.empty()) {
-    recordAhead();
+  if (!unrecordedGrants_.empty()) {
+    recordGrants();
     return;
   }
-  // All that was spent under it is recorded: nobody has to count it any more. Its record may come
-  // to stand without an answer, so the lease is not used again whatever the answer.
+  // All spending under the lease is recorded, so others need not count it any more. An append that
+  // failed may still take effect, so the lease is dropped whatever the result.
   const BudgetLease record{lease_->id, knobs_.holder, BudgetLeaseState::Cleared, renewal_,
                            lease_->slot};
   dropLease();
-  leaseAsked_ = true;
-  appendLease(record, [this](bool /*stands*/) { leaseAsked_ = false; });
+  leaseAppendPending_ = true;
+  appendLease(record, [this](bool /*appended*/) { leaseAppendPending_ = false; });
 }
 
-void BudgetPartition::tellOwnLease(BudgetLeaseState state) const {
+void BudgetPartition::reportOwnLease(BudgetLeaseState state) const {
   if (knobs_.onOwnLease) {
     knobs_.onOwnLease(address_, {lease_->id, knobs_.holder, state, renewal_, lease_->slot});
   }
@@ -391,17 +402,17 @@
 
 void BudgetPartition::dropLease() {
   if (lease_) {
-    tellOwnLease(BudgetLeaseState::Ended);
+    reportOwnLease(BudgetLeaseState::Ended);
   }
   lease_.reset();
-  givingBack_ = false;
+  releasing_ = false;
   ++leaseNumber_;
 }
 
 void BudgetPartition::sweep() {
   const Instant now = clock_();
-  accounts_.forgetIdleSince(now - knobs_.accountLifetime);
-  leases_.forgetOld(now);
+  accounts_.evictIdleSince(now - knobs_.accountRetention);
+  leases_.evictCleared(now);
 }
 
 }  // namespace gorsetrail::ledger
--- a/src/ledger/budget_partition.h
+++ b/src/ledger/budget_partition.h
@@ -1,4 +1,4 @@
-/// \file Budgets of the programs of one partition: decided by its log, or ahead of it by a lease.
+/// \file Token budgets of the programs of one partition, reserved through the log or under a lease.
 #pragma once
 
 #include <cstdint>
@@ -21,42 +21,43 @@
 
 namespace gorsetrail::ledger {
 
-/// Knobs of `BudgetPartition`.
 struct BudgetPartitionKnobs {
   BudgetLeaseKnobs leases;
-  std::string holder;  ///< Address of this node, the same in all its lives.
-  std::string life;    ///< Of this process; no other has the same. Empty: it never holds a lease.
+  std::string holder;  ///< Address of this node, the same after a restart.
+  std::string life;    ///< Incarnation: unique to this process. Empty: it never holds a lease.
   Duration reservationWindow = milliseconds(20);
   Duration settlementWindow = milliseconds(300);
-  /// What was granted ahead is recorded after this, together with what came meanwhile.
-  Duration recordingPeriod = milliseconds(300);
-  Duration accountLifetime = seconds(300);
-  /// Told when this process's lease of the partition begins, changes its slot or is dropped.
+  /// Grants under the lease are recorded in batches at this interval.
+  Duration recordingInterval = milliseconds(300);
+  Duration accountRetention = seconds(300);
+  /// Called when this process's lease of the partition is acquired, changes its slot or is dropped.
   std::function<void(const logstore::PartitionAddress&, const BudgetLease&)> onOwnLease;
 };
 
-/// What became of reservations; all only rise.
+/// Monotonic counters of reservation outcomes.
 struct BudgetCounters {
-  std::uint64_t grantedAhead = 0;           ///< Under a primary lease, before their record.
-  std::uint64_t grantedAheadSecondary = 0;  ///< Likewise, under a secondary one.
+  std::uint64_t grantedAhead = 0;           ///< Under a primary lease, before being recorded.
+  std::uint64_t grantedAheadSecondary = 0;  ///< Under a secondary lease, before being recorded.
   std::uint64_t grantedByLog = 0;
   std::uint64_t spent = 0;
-  /// Not granted only because an earlier home may have spent tokens unseen.
+  /// Refused only because a lease of another node may have spent tokens without a record.
   std::uint64_t uncertain = 0;
-  /// Not granted because the program's remaining time was told longer ago than `longestCall`.
+  /// Refused because the program's remaining time was received more than `maxDecisionDelay` ago.
   std::uint64_t decidedTooLate = 0;
 };
 
-/// Order of steps, and why it is safe (spec/budget_lease.pml):
-/// 1. without a lease, a reservation is granted by what stands before its own record in the log;
-///    each other home's lease that is not cleared there counts at the most that its holder may have
-///    spent unseen, whatever was read behind it;
-/// 2. a lease is used only after its own record stood in the log and everything before it was read.
-///    So whoever decides by a later record counts the lease, and what was decided before is known.
-///    The larger share of the primary slot is used likewise: after the record that moved it up;
-/// 3. what was spent ahead counts against the lease until its record stands and everything before
-///    that record was read;
-/// 4. a lease is given back only after everything spent under it was recorded.
+/// Grants, records and settles reservations, and acquires and releases this node's lease. The order
+/// of steps keeps each budget safe (model: spec/budget_lease.pml):
+/// 1. without a lease, a reservation is granted by the records below its own offset. Each other
+///    node's lease that is not cleared there counts with the maximum its holder may have spent,
+///    even if later records were read;
+/// 2. a lease is used only after its own record and everything below it were read. So every
+///    decision by a later record counts the lease, and every earlier decision is known. The larger
+///    share of the primary slot is likewise used only after the record that promoted the lease was
+///    read;
+/// 3. a grant counts against the lease until it is recorded and everything below its record was
+///    read;
+/// 4. a lease is released only after everything spent under it is recorded.
 class BudgetPartition {
  public:
   using ReservationReplyCallback = std::function<void(ReservationReply)>;
@@ -66,40 +67,41 @@
                   logstore::ClockFunction clock, logstore::PartitionAddress address,
                   BudgetPartitionKnobs knobs);
 
-  /// Calls back once; at once when a lease decides, or the store is known not to answer. A
-  /// reservation that does not fit stays standing: only who asked knows whether another home has
-  /// granted it, and gives it back if not.
+  /// Calls back once: immediately if the lease decides or the store is known to be unavailable. A
+  /// reservation that does not fit stays in the log; the caller settles it with zero tokens unless
+  /// another coordinator has granted it.
   void reserve(const BudgetRequest& request, Duration timeLimit, ReservationReplyCallback callback);
   void settle(const BudgetSettlement& settlement);
 
-  /// \return tokens that all known requests of the program have used or may use.
-  [[nodiscard]] std::uint64_t usedBy(const std::string& program) const {
-    return accounts_.usedBy(program);
+  /// \return tokens used or reserved by all known requests of the program.
+  [[nodiscard]] std::uint64_t tokensUsedBy(const std::string& program) const {
+    return accounts_.tokensUsedBy(program);
   }
 
-  /// To be called now and then while this node is the partition's home: takes, renews and clears
-  /// leases.
-  void keepLease();
-  /// To be called now and then while it is not: records what was spent ahead, then gives the lease
-  /// back.
-  void giveLeaseBack();
+  /// Acquires and renews this node's lease, and ends and clears leases of others. Call it
+  /// periodically while this node is the partition's coordinator.
+  void maintainLease();
+  /// Records all grants, then releases the lease. Call it periodically while this node is not the
+  /// partition's coordinator.
+  void releaseLease();
   [[nodiscard]] bool holdsLease() const;
-  /// \return the slot of the lease held.
-  [[nodiscard]] std::optional<BudgetLeaseSlot> leaseSlot() const {
+  [[nodiscard]] std::optional<BudgetLeaseSlot> heldLeaseSlot() const {
     return holdsLease() ? std::optional(lease_->slot) : std::nullopt;
   }
-  /// \return whether the request was granted ahead and its record does not stand yet.
-  [[nodiscard]] bool isAhead(const std::string& request) const { return ahead_.contains(request); }
-  /// \return requests granted ahead whose records do not stand yet.
-  [[nodiscard]] std::size_t unrecorded() const { return ahead_.size(); }
+  /// \return whether the request was granted under the lease and is not recorded yet.
+  [[nodiscard]] bool isUnrecorded(const std::string& request) const {
+    return unrecordedGrants_.contains(request);
+  }
+  /// \return the number of requests granted under the lease and not recorded yet.
+  [[nodiscard]] std::size_t unrecordedGrants() const { return unrecordedGrants_.size(); }
   [[nodiscard]] const BudgetCounters& counters() const { return counters_; }
 
-  /// Forgets accounts of programs long gone; call it now and then.
+  /// Removes idle accounts and old leases. Call it periodically.
   void sweep();
 
  private:
-  /// A request that was granted before its record stands.
-  struct Ahead {
+  /// A request granted under the lease whose record is not in the log yet.
+  struct UnrecordedGrant {
     BudgetReservation reservation;
     std::optional<BudgetSettlement> settlement;
     bool recording = false;
@@ -107,43 +109,43 @@
   struct Lease {
     std::string id;
     Instant validUntil;
-    BudgetLeaseSlot slot = BudgetLeaseSlot::Primary;  ///< As of the newest record that was read.
+    BudgetLeaseSlot slot = BudgetLeaseSlot::Primary;  ///< As of the newest record read.
   };
 
   void onRecord(std::uint64_t offset, std::string_view record);
-  /// \return nothing when the lease can't decide.
-  std::optional<ReservationReply> reserveAhead(const BudgetRequest& request);
+  /// \return nothing if the lease cannot decide.
+  std::optional<ReservationReply> reserveUnderLease(const BudgetRequest& request);
   void reserveInLog(const BudgetRequest& request, Duration timeLimit,
                     ReservationReplyCallback callback);
   ReservationReply decideByLog(const BudgetRequest& request, Instant askedAt, std::uint64_t offset);
-  /// What others may have spent of a program's budget without a record.
-  struct UnseenTokens {
+  /// The maximum that other nodes may have spent of a program's budget without a record.
+  struct UnrecordedTokens {
     UnseenSpending leases = UnseenSpending::None;
-    std::uint64_t most = 0;
+    std::uint64_t maxTokens = 0;
   };
   /// \param below see `BudgetLeaseTable::unseenSpending`.
-  [[nodiscard]] UnseenTokens mostSpentUnseen(const BudgetRequest& request,
-                                             std::uint64_t below) const;
-  /// \return the reply that neither a lease nor the store can decide the request.
-  [[nodiscard]] ReservationReply undecidable(const BudgetRequest& request) const;
-  /// \return tokens of the program's other requests, as far as they are known.
-  [[nodiscard]] std::uint64_t usedBesides(const BudgetReservation& wanted) const {
-    return accounts_.usedBefore(wanted.program, wanted.request, kEverythingRead);
+  [[nodiscard]] UnrecordedTokens maxUnrecordedByOthers(const BudgetRequest& request,
+                                                       std::uint64_t below) const;
+  /// \return the reply for a request that neither a lease nor the store can decide.
+  [[nodiscard]] ReservationReply undecidedReply(const BudgetRequest& request) const;
+  /// \return known tokens of the program's other requests.
+  [[nodiscard]] std::uint64_t tokensUsedByOthers(const BudgetReservation& reservation) const {
+    return accounts_.tokensUsedBefore(reservation.program, reservation.request, kMaxOffset);
   }
-  [[nodiscard]] std::uint64_t spentAhead(const std::string& program) const;
+  [[nodiscard]] std::uint64_t unrecordedTokensOf(const std::string& program) const;
   void scheduleRecording();
-  void recordAhead();
+  void recordGrants();
   void onRecorded(const std::string& request, bool withSettlement,
                   const logstore::StoreResult<std::uint64_t>& result);
-  void forgetAhead(const std::string& request);
+  void removeGrant(const std::string& request);
   void appendSettlement(const BudgetSettlement& settlement);
   void appendLease(const BudgetLease& record, std::function<void(bool stands)> onRead);
-  void takeLease();
-  void onLeaseRead(const std::string& id, Instant askedAt);
+  void acquireOrRenewLease();
+  void onLeaseRecordRead(const std::string& id, Instant askedAt);
   [[nodiscard]] bool isRenewalDue() const;
-  void endAndClearOthers();
+  void advanceOtherLeases();
   void dropLease();
-  void tellOwnLease(BudgetLeaseState state) const;
+  void reportOwnLease(BudgetLeaseState state) const;
   [[nodiscard]] std::string leaseId() const;
   [[nodiscard]] std::string ownLease() const { return lease_ ? lease_->id : std::string(); }
 
@@ -157,15 +159,16 @@
   BudgetAccounts accounts_;
   BudgetLeaseTable leases_;
   std::optional<Lease> lease_;
-  std::uint64_t leaseNumber_ = 1;  ///< Of the lease held, or of the next one.
-  std::uint64_t renewal_ = 0;      ///< Of the newest record asked for.
-  bool leaseAsked_ = false;        ///< A record of it is on its way.
-  bool clearing_ = false;          ///< Records about other leases are on their way.
-  bool keepsLease_ = false;        ///< This node is the partition's home.
-  bool givingBack_ = false;        ///< Nothing more is spent under the lease.
+  std::uint64_t leaseNumber_ = 1;    ///< Of the current lease, or of the next one.
+  std::uint64_t renewal_ = 0;        ///< Of the newest lease record requested.
+  bool leaseAppendPending_ = false;  ///< A record of the own lease is being appended.
+  bool transitionPending_ =
+      false;  ///< A record that ends or clears another lease is being appended.
+  bool isCoordinator_ = false;
+  bool releasing_ = false;  ///< The lease is being released: no more grants under it.
   bool recordingScheduled_ = false;
-  std::unordered_map<std::string, Ahead> ahead_;  ///< By request.
-  std::unordered_map<std::string, std::vector<std::string>> aheadByProgram_;
+  std::unordered_map<std::string, UnrecordedGrant> unrecordedGrants_;  ///< By request id.
+  std::unordered_map<std::string, std::vector<std::string>> unrecordedByProgram_;
   BudgetCounters counters_;
 };
 
--- a/src/ledger/call_trace.cpp
+++ b/src/ledger/call_trace.cpp
@@ -18,13 +18,13 @@
   return "silent";
 }
 
-std::string textOf(const std::vector<CoordinatorWord>& asked) {
+std::string textOf(const std::vector<CoordinatorReport>& asked) {
   std::string text;
-  for (const CoordinatorWord& word : asked) {
+  for (const CoordinatorReport& report : asked) {
     text += text.empty() ? "" : ",";
-    text += word.address + "/";
-    text += coordinatorStateName(word.state);
-    text += word.reason.empty() ? "" : "(" + word.reason + ")";
+    text += report.address + "/";
+    text += coordinatorStateName(report.state);
+    text += report.reason.empty() ? "" : "(" + report.reason + ")";
   }
   return text;
 }
--- a/src/ledger/call_trace.h
+++ b/src/ledger/call_trace.h
@@ -1,4 +1,4 @@
-/// \file Which nodes a ledger call was sent to and what each of them said, for log lines.
+/// \file The nodes that a ledger call was sent to and how each one responded, for log lines.
 #pragma once
 
 #include <cstdint>
@@ -8,26 +8,26 @@
 
 namespace gorsetrail::ledger {
 
-/// What was heard of a node that a call was sent to.
+/// Response of a node that a call was sent to.
 enum class CoordinatorState : std::uint8_t {
-  Silent,     ///< No reply by the end of the call.
-  NotAlive,   ///< It gave no sign of life either.
-  NoReply,    ///< The connection was refused or broke.
-  Undecided,  ///< It replied that it can't say.
+  Silent,     ///< No reply before the call ended.
+  NotAlive,   ///< No reply, and a liveness probe failed.
+  NoReply,    ///< The connection was refused or broken.
+  Undecided,  ///< It replied that it cannot decide.
   Answered,
 };
 
-/// \return the state's stable name, for log lines.
+/// \return the state's stable name for log lines.
 std::string_view coordinatorStateName(CoordinatorState state);
 
-/// One node that a call was sent to.
-struct CoordinatorWord {
+/// A node that a call was sent to, with its response.
+struct CoordinatorReport {
   std::string address;
   CoordinatorState state = CoordinatorState::Silent;
-  std::string reason;  ///< Why it was undecided, if it said so.
+  std::string reason;  ///< Why it could not decide, if reported.
 };
 
-/// \return `address/state(reason)` of each node, with commas between.
-std::string textOf(const std::vector<CoordinatorWord>& asked);
+/// \return `address/state(reason)` of each node, separated by commas.
+std::string textOf(const std::vector<CoordinatorReport>& asked);
 
 }  // namespace gorsetrail::ledger
--- a/src/ledger/facts.h
+++ b/src/ledger/facts.h
@@ -1,7 +1,6 @@
-/// \file Facts about programs as they stand in the shared log.
-///
-/// A fact is true for good and may stand in the log more than once: it is named by the request it
-/// is about, so reading it twice changes nothing. No fact needs an owner, a lease or a fence.
+/// \file Records about programs in the shared log, and their encoding.
+/// A fact stays true once written and is keyed by its request or lease id, so appending or reading
+/// it twice has no further effect. Any node may append any fact: no ownership or fencing is needed.
 #pragma once
 
 #include <cstdint>
@@ -15,65 +14,66 @@
 
 namespace gorsetrail::ledger {
 
-/// A turn whose answer was made whole. Its history is that of `base` (when there is one) followed
-/// by `history`: inputs and outputs in order, up to and with this turn's.
+/// A completed turn. Its full history is that of `base` (if any) followed by `history`: all inputs
+/// and outputs in order, including this turn's.
 struct CompletedTurn {
-  std::string request;  ///< Id of the client's request; names the turn.
-  std::string base;     ///< An earlier turn, or empty.
+  std::string request;  ///< Id of the client's request; identifies the turn.
+  std::string base;     ///< Request id of an earlier turn, or empty.
   std::string history;
 };
 
-/// Before the first token of a request leaves, the most it can generate is reserved.
+/// Reserves the maximum number of tokens that a request can generate. Made before its first token
+/// is sent.
 struct BudgetReservation {
   std::string request;
   std::string program;
   std::uint64_t tokens = 0;
 };
 
-/// Asks for a reservation.
+/// A reservation to be decided against the program's budget.
 struct BudgetRequest {
   BudgetReservation reservation;
   std::uint64_t budget = 0;  ///< Tokens of the whole program.
-  /// Until the program should be over, zero when that has passed; nothing when it was not told.
+  /// The program's declared remaining time: zero if it is overdue, nothing if it was not declared.
   std::optional<Duration> programTimeLeft;
 };
 
-/// The request has ended: it handed out this many tokens, at most what was reserved.
+/// A finished request with the tokens it actually generated, at most the reserved number.
 struct BudgetSettlement {
   std::string request;
   std::string program;
   std::uint64_t tokens = 0;
 };
 
-/// How far a budget lease has come; it only goes forwards.
+/// States of a budget lease; transitions only go forwards.
 enum class BudgetLeaseState : std::uint8_t {
-  Held,     ///< Its holder may spend ahead of the records, see `BudgetLeaseTable`.
-  Ended,    ///< Its holder will not spend under it any more.
-  Cleared,  ///< No program that began after this was recorded can have spent under it.
+  Held,     ///< The holder may spend before recording, see `BudgetLeaseTable`.
+  Ended,    ///< The holder will not spend under it any more.
+  Cleared,  ///< No program that started after this record can have spent under it.
 };
 
-/// Each partition has one lease of each slot at most; they differ in what they allow.
+/// A partition has at most one lease in each slot. The slots allow different shares of a budget.
 enum class BudgetLeaseSlot : std::uint8_t {
   Primary,
-  Secondary,  ///< Taken while the lease in the primary slot has ended and is not cleared.
+  Secondary,  ///< Taken while the primary lease has ended and is not cleared.
 };
 
-/// A home may spend tokens of each program of the partition before their reservations stand.
+/// A state change of a lease. A lease lets a partition's coordinator grant reservations before
+/// recording them.
 struct BudgetLease {
   std::string lease;   ///< Unique id.
-  std::string holder;  ///< Address of the home; its earlier processes are dead.
+  std::string holder;  ///< Address of the holding node; its earlier processes are dead.
   BudgetLeaseState state = BudgetLeaseState::Held;
-  /// Held: rises with each record of the lease. Ended: that of the newest record known; the end is
-  /// void when a newer one stands before it.
+  /// Held: increases with each record of the lease. Ended: the newest renewal known to the writer;
+  /// the end is void if a newer renewal precedes it in the log.
   std::uint64_t renewal = 0;
-  /// As far as the writer knows: for readers whose partition does not hold the lease's first record
-  /// any more. The log's order decides which slot a new lease enters.
+  /// The slot known to the writer, for readers whose log no longer contains the lease's first
+  /// record. The order of the log decides which slot a new lease takes.
   BudgetLeaseSlot slot = BudgetLeaseSlot::Primary;
 };
 
 using Fact = std::variant<CompletedTurn, BudgetReservation, BudgetSettlement, BudgetLease>;
 
-/// \return the record of a fact.
 std::string encodeFact(const Fact& fact);
 
 /// Verifies and decodes a record. Errors: `InvalidFrame`.
--- a/src/ledger/home_selector.cpp
+++ b/src/ledger/home_selector.cpp
@@ -11,7 +11,7 @@
 
 constexpr double kSmallestCapacity = 0.01;
 
-/// Weighted rendezvous: the highest score wins with a chance in proportion to the capacity.
+/// Weighted rendezvous hashing: a candidate wins with a probability proportional to its capacity.
 double scoreOf(const std::string& key, const HomeCandidate& candidate) {
   const std::uint64_t seed = XXH64(key.data(), key.size(), 0);
   const std::uint64_t hash = XXH64(candidate.address.data(), candidate.address.size(), seed);
@@ -50,17 +50,17 @@
           {isSuspect(candidate.address, now), scoreOf(key, candidate), &candidate.address});
     }
   }
-  const std::size_t count = std::min(knobs_.homes, ranked.size());
+  const std::size_t count = std::min(knobs_.coordinatorsPerPartition, ranked.size());
   std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(count),
                     ranked.end(), [](const Ranked& left, const Ranked& right) {
                       return left.suspect != right.suspect ? right.suspect
                                                            : left.score > right.score;
                     });
-  std::vector<std::string> homes;
+  std::vector<std::string> coordinators;
   for (std::size_t index = 0; index < count; ++index) {
-    homes.push_back(*ranked[index].address);
+    coordinators.push_back(*ranked[index].address);
   }
-  return homes;
+  return coordinators;
 }
 
 }  // namespace gorsetrail::ledger
--- a/src/ledger/home_selector.h
+++ b/src/ledger/home_selector.h
@@ -1,4 +1,4 @@
-/// \file Which nodes are asked for a partition, in which order. Policy only: no I/O, no clock.
+/// \file Selects the coordinators ("homes") of a partition. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -11,36 +11,38 @@
 
 namespace gorsetrail::ledger {
 
-/// A node that may be a home.
+/// A node that may coordinate partitions.
 struct HomeCandidate {
-  std::string address;  ///< Where ledger calls arrive.
+  std::string address;  ///< Address for ledger calls.
   std::string zone;
-  double capacity = 1.0;  ///< Relative share of partitions.
+  double capacity = 1.0;  ///< Relative weight in the hashing.
 };
 
-/// Knobs of `HomeSelector`.
 struct HomeSelectorKnobs {
-  std::size_t homes = 2;  ///< Asked one after the other.
-  /// A node that did not answer is asked last for this long.
+  std::size_t coordinatorsPerPartition =
+      2;  ///< Number of coordinators per partition, tried in order.
+  /// A suspected node is ranked last for this long.
   Duration suspicionTime = milliseconds(1500);
 };
 
-/// Weighted rendezvous hashing over the nodes known to serve: all nodes come to the same home while
-/// they agree on who serves, and a change moves only the partitions of the node that changed.
-/// Disagreement is harmless: the log decides, homes only save calls.
+/// Ranks nodes by weighted rendezvous hashing: nodes with the same member list select the same
+/// coordinators, and a membership change moves only the partitions of the changed node. Nodes with
+/// different member lists may select different coordinators. This is safe because the log decides;
+/// a coordinator only saves calls to the store.
 class HomeSelector {
  public:
   explicit HomeSelector(HomeSelectorKnobs knobs) : knobs_(knobs) {}
 
-  /// \param zone only nodes of this zone, if it has any; empty: all nodes.
-  /// \return addresses, best first; suspects after all others.
+  /// \param zone restricts the selection to this zone if it has any candidates; empty: no
+  /// restriction.
+  /// \return addresses, best first; suspected nodes after all others.
   [[nodiscard]] std::vector<std::string> homesOf(const logstore::PartitionAddress& partition,
                                                  const std::string& zone,
                                                  const std::vector<HomeCandidate>& candidates,
                                                  Instant now) const;
   void suspect(const std::string& address, Instant now);
-  /// The node answered. \return whether it was a suspect.
-  bool clear(const std::string& address) { return suspectUntil_.erase(address) > 0; }
+  /// Clears the suspicion after a reply. \return whether the node was suspected.
+  bool clearSuspicion(const std::string& address) { return suspectUntil_.erase(address) > 0; }
   [[nodiscard]] bool isSuspect(const std::string& address, Instant now) const;
 
  private:
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -4,14 +4,14 @@
 
 namespace gorsetrail::ledger {
 
-History appendPiece(History base, const std::string& baseTurn, const std::string& piece) {
+History extendHistory(History base, const std::string& baseRequest, const std::string& piece) {
   base.baseBytes = base.text.size();
-  base.base = baseTurn;
+  base.base = baseRequest;
   base.text += piece;
   return base;
 }
 
-CompletedTurn completedTurnOf(TurnToStore turn, std::size_t maximumInlineHistoryBytes) {
+CompletedTurn makeCompletedTurn(TurnToStore turn, std::size_t maximumInlineHistoryBytes) {
   const std::size_t pieceBytes = turn.before.text.size() - turn.before.baseBytes;
   if (pieceBytes + turn.addition.size() > maximumInlineHistoryBytes && !turn.previous.empty()) {
     return {std::move(turn.request), std::move(turn.previous), std::move(turn.addition)};
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -1,4 +1,4 @@
-/// \file What requests need to know and to keep of programs: histories and budgets.
+/// \file Interface for the conversation histories and token budgets of programs.
 #pragma once
 
 #include <cstddef>
@@ -16,63 +16,65 @@
 
 namespace gorsetrail::ledger {
 
-/// A turn's inputs and outputs with all before it.
+/// The inputs and outputs of a turn and of all turns before it.
 struct History {
   std::string text;
-  /// The turn's own record goes on from this earlier turn; empty: it holds everything.
+  /// The earlier turn that this turn's record extends; empty: the record holds the whole history.
   std::string base;
   std::size_t baseBytes = 0;  ///< Length of the base's history at the start of `text`.
 };
-/// The log was read to its end after the question: there is no such turn.
+/// The turn does not exist: the log was read to its end after the lookup began.
 struct UnknownTurn {};
-/// A partition that a turn may stand in and that could not be read to its end.
+/// A partition that may hold the turn but could not be read to its end.
 struct UnreadPartition {
   std::string partition;
   std::uint32_t choice = 0;  ///< See `TurnPlacement`.
   std::string reason;
-  std::vector<CoordinatorWord> asked{};  ///< In the order they were asked.
-  bool coordinatorLives = false;         ///< One replied, or answered a liveness probe.
+  std::vector<CoordinatorReport> asked{};  ///< In the order they were called.
+  bool coordinatorLives = false;           ///< A coordinator replied or answered a liveness probe.
 };
-/// The log could not be read: nothing can be said.
+/// The log could not be read, so it is unknown whether the turn exists.
 struct LedgerUnavailable {
   std::string reason;
-  std::vector<UnreadPartition> unread{};  ///< In the order they were searched.
+  std::vector<UnreadPartition> unread{};  ///< In search order.
 };
 using HistoryAnswer = std::variant<History, UnknownTurn, LedgerUnavailable>;
 
-/// Whether a reservation of a partition's budgets can be expected to be decided.
+/// Whether reservations of a budget partition are expected to be decided.
 enum class ReservationOutlook : std::uint8_t {
-  Likely,    ///< Nothing speaks against it.
-  Doubtful,  ///< The last one failed, or the store does not answer here: a home's lease may decide.
-  Unlikely,  ///< Several failed a moment ago; likewise.
+  Likely,    ///< No recent failure.
+  Doubtful,  ///< The last one failed, or the store does not answer this node. The coordinator's
+             ///< lease may still decide.
+  Unlikely,  ///< Several failed recently; the coordinator's lease may still decide.
 };
 
-/// Zones whose nodes may hold a turn, nearest first; empty: the turn may be held anywhere.
+/// Zones that may store a turn, nearest first; empty: no restriction.
 using TurnZones = std::vector<std::string>;
 
-/// Names a turn.
+/// Identifies a turn.
 struct TurnName {
   std::string request;
   TurnZones zones{};
 };
 
-/// A turn whose answer was made whole, with what it goes on from.
+/// A completed turn to be stored, with the history it extends.
 struct TurnToStore {
-  std::string request;   ///< Names the turn.
-  std::string previous;  ///< The turn before; empty: none.
-  History before;        ///< History of `previous`, as it was found.
+  std::string request;   ///< Id of the client's request; identifies the turn.
+  std::string previous;  ///< The preceding turn; empty: none.
+  History before;        ///< History of `previous`.
   std::string addition;  ///< The turn's own input and output.
   TurnZones zones{};
 };
 
-/// \return the history of `base` with the piece that a later turn's record adds to it.
-History appendPiece(History base, const std::string& baseTurn, const std::string& piece);
+/// \return the history of `base` extended by the text that the record of a later turn adds.
+History extendHistory(History base, const std::string& baseRequest, const std::string& piece);
 
-/// \return the turn's record: with the whole history while that is short, else with what came
-/// after an earlier turn.
-CompletedTurn completedTurnOf(TurnToStore turn, std::size_t maximumInlineHistoryBytes);
+/// \return the turn's record. It holds the history since `before.base` if that fits
+/// `maximumInlineHistoryBytes`, else only the turn's addition with `previous` as its base.
+CompletedTurn makeCompletedTurn(TurnToStore turn, std::size_t maximumInlineHistoryBytes);
 
-/// Histories and budgets. Every call calls back once; none of them waits longer than its limit.
+/// Access to histories and budgets. Every asynchronous method calls back exactly once, within its
+/// time limit.
 class Ledger {
  public:
   using HistoryCallback = std::function<void(HistoryAnswer)>;
@@ -80,20 +82,19 @@
   using ReservationCallback = std::function<void(ReservationReply)>;
 
   virtual ~Ledger() = default;
-  /// Finds the history up to and with a turn.
+  /// Finds the history up to and including a turn.
   virtual void findHistory(const TurnName& turn, HistoryCallback callback) = 0;
-  /// Stores a turn. After success every node finds the turn, whatever fails afterwards.
+  /// Stores a turn durably: after success every node can find it.
   virtual void storeTurn(TurnToStore turn, Duration timeLimit, StoredCallback callback) = 0;
-  /// Reserves tokens of a program's budget in the log.
   virtual void reserve(const BudgetRequest& request, Duration timeLimit,
                        ReservationCallback callback) = 0;
-  /// Gives back what a reservation did not use. Returns at once; the record follows soon.
+  /// Returns the unused part of a reservation. Returns immediately; the record is appended later.
   virtual void settle(BudgetSettlement settlement) = 0;
-  /// \return whether a turn can probably be stored now.
+  /// \return whether storing a turn is likely to succeed now.
   [[nodiscard]] virtual bool takesTurn(const TurnName& turn) = 0;
-  /// \return whether tokens of the program can probably be reserved now.
+  /// \return whether a reservation for the program is likely to be decided now.
   [[nodiscard]] virtual ReservationOutlook reservationOutlook(const std::string& program) = 0;
-  /// \return tokens that the program has used or may use, as far as this node knows.
+  /// \return tokens used or reserved by the program, as far as this node knows.
   [[nodiscard]] virtual std::uint64_t knownUse(const std::string& program) const = 0;
 };
 
--- a/src/ledger/ledger_message.cpp
+++ b/src/ledger/ledger_message.cpp
@@ -70,7 +70,7 @@
   return finish(builder, fbs::CallMessage::SettleCall, call.Union());
 }
 
-/// \return the verified envelope, or null; it lives as long as the bytes.
+/// \return the verified envelope, or null; valid as long as `bytes`.
 const fbs::CallEnvelope* verified(std::string_view bytes) {
   const auto* const begin = reinterpret_cast<const std::uint8_t*>(bytes.data());
   flatbuffers::Verifier verifier(begin, bytes.size());
@@ -139,7 +139,7 @@
   const auto reason = optionalText(builder, reply.reason);
   const auto message = fbs::CreateCallReply(
       builder, static_cast<fbs::CallOutcome>(reply.outcome), base, history, reply.tokensUsed,
-      reason, reply.decidesReservations, static_cast<fbs::UndecidedReason>(reply.undecided),
+      reason, reply.canDecideReservations, static_cast<fbs::UndecidedReason>(reply.undecided),
       static_cast<fbs::UnseenLeases>(reply.unseenLeases), reply.tokensUnseen);
   return finish(builder, fbs::CallMessage::CallReply, message.Union());
 }
@@ -157,8 +157,8 @@
   reply.history = textOf(read->history());
   reply.tokensUsed = read->tokens_used();
   reply.reason = textOf(read->reason());
-  reply.decidesReservations = read->decides_reservations();
-  // A newer node may know more reasons.
+  reply.canDecideReservations = read->decides_reservations();
+  // A newer node may send values that this version does not know; the defaults stay then.
   if (read->undecided() <= fbs::UndecidedReason::MAX) {
     reply.undecided = static_cast<UndecidedReason>(read->undecided());
   }
--- a/src/ledger/ledger_message.h
+++ b/src/ledger/ledger_message.h
@@ -1,4 +1,4 @@
-/// \file Calls between nodes to the home of a ledger's partition, and their replies.
+/// \file Calls to the coordinator of a ledger partition, their replies, and the encoding of both.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace gorsetrail::ledger {
 
-/// Asks for a turn's own record in one of the partitions that it may stand in.
+/// Looks up a turn's own record in one of the partitions that may hold it.
 struct FindTurnRequest {
   TurnPlacement placement;
   std::string turn;
@@ -34,26 +34,26 @@
 using LedgerRequest =
     std::variant<FindTurnRequest, StoreTurnRequest, ReserveRequest, SettleRequest>;
 
-/// How a call ended.
+/// Outcome of a call.
 enum class LedgerOutcome : std::uint8_t {
-  Unavailable,  ///< Nothing can be said: the store or the home did not answer.
-  Done,         ///< Found, stored, granted or noted.
-  UnknownTurn,  ///< The partition was read to its end: no such turn there.
+  Unavailable,  ///< Undecided: the store or the coordinator did not answer.
+  Done,         ///< Found, stored, granted or settled.
+  UnknownTurn,  ///< The partition was read to its end and does not hold the turn.
   BudgetSpent,
-  Rejected,  ///< It will never succeed.
+  Rejected,  ///< Retrying cannot succeed.
 };
 
-/// Reply to any call; fields that do not belong to the call are empty.
+/// Reply to any call. Fields that do not apply to the call are empty.
 struct LedgerReply {
   LedgerOutcome outcome = LedgerOutcome::Unavailable;
   std::string base;              ///< Of the turn that was found.
   std::string history;           ///< Of the turn that was found.
-  std::uint64_t tokensUsed = 0;  ///< By the program, after a reservation.
+  std::uint64_t tokensUsed = 0;  ///< After a reservation: used or reserved by the program.
   std::string reason;            ///< Why it failed.
-  /// After a reservation or settlement: the home holds a lease, or the store answers it. Where it
-  /// does not, a turn is not dispatched beside its reservation.
-  bool decidesReservations = true;
-  // Only after a reservation; see `ReservationReply`.
+  /// After a reservation or settlement: whether the coordinator holds a lease or can reach the
+  /// store. If not, a turn is dispatched only after its reservation was granted.
+  bool canDecideReservations = true;
+  // After a reservation; see `ReservationReply`.
   UndecidedReason undecided = UndecidedReason::Unknown;
   UnseenSpending unseenLeases = UnseenSpending::None;
   std::uint64_t tokensUnseen = 0;
--- a/src/ledger/ledger_partitions.cpp
+++ b/src/ledger/ledger_partitions.cpp
@@ -24,7 +24,7 @@
   topicPrefix += '-';
   const std::uint64_t hash = XXH64(turn.data(), turn.size(), 0);
   const std::uint64_t others = knobs_.turnPartitions - 1;
-  // The second choice is spread over all other partitions, whatever the first.
+  // The fallback partitions of turns with the same preferred partition are spread over all others.
   const std::uint64_t step =
       placement.choice == 0 || others == 0 ? 0 : 1 + hash / knobs_.turnPartitions % others;
   return addressOf(topicPrefix, (hash + step) % knobs_.turnPartitions, knobs_.partitionsPerTopic);
@@ -34,7 +34,7 @@
     const logstore::PartitionAddress& partition) {
   const std::string_view prefix = kConfinedTurnTopic;
   const std::string& topic = partition.topic;
-  const std::size_t end = topic.rfind('-');  // Before the topic's number.
+  const std::size_t end = topic.rfind('-');  // Start of the topic's number.
   if (!topic.starts_with(prefix) || end < prefix.size()) {
     return std::nullopt;
   }
--- a/src/ledger/ledger_partitions.h
+++ b/src/ledger/ledger_partitions.h
@@ -1,4 +1,4 @@
-/// \file Where facts stand: which partition holds a turn and which a program's budget.
+/// \file Maps turns and program budgets to partitions of the log.
 #pragma once
 
 #include <cstdint>
@@ -11,38 +11,38 @@
 
 namespace gorsetrail::ledger {
 
-/// Numbers of partitions. They are part of the format: all nodes must use the same.
+/// Partition counts. They are part of the stored format: all nodes must use the same.
 struct LedgerPartitionsKnobs {
-  std::uint32_t partitionsPerTopic = 8;  ///< As the store has them.
-  /// Partitions of a zone's turns. Few, so that turns share appends; several, so that a home reads
-  /// and keeps only a part.
+  std::uint32_t partitionsPerTopic = 8;  ///< Must match the store.
+  /// Partitions for the turns of a zone. A small number lets turns share appends; more than one
+  /// lets a coordinator read and cache only a part.
   std::uint32_t turnPartitions = 4;
   std::uint32_t budgetPartitions = 8;
 };
 
-/// Partitions of a zone that a turn may stand in.
+/// The number of partitions in a zone that may hold a given turn.
 inline constexpr std::uint32_t kTurnChoices = 2;
 
-/// Names one of the partitions that a turn may stand in.
+/// Identifies one of the partitions that may hold a turn.
 struct TurnPlacement {
   std::string zone;
-  std::uint32_t choice = 0;  ///< Below `kTurnChoices`.
-  /// Its text may be read in the zone's region alone. Such turns stand in partitions of their own:
-  /// whoever reads a partition gets every turn in it, and the others must stay readable elsewhere
-  /// when the region is lost.
+  std::uint32_t choice = 0;  ///< 0 (preferred) or 1 (fallback).
+  /// Whether the turn's text must not leave the zone's region. Confined turns have separate
+  /// partitions because a reader of a partition gets every turn in it, and other turns must stay
+  /// readable from elsewhere when the region is lost.
   bool confined = false;
 };
 
-/// A turn stands in a partition of the zone that answered it, so that its bytes stay there; a
-/// program has one partition for its budget wherever it runs.
+/// Assigns partitions by hashing. A turn is stored in a partition of the zone that answered it, so
+/// that its text stays there. A program has one budget partition, wherever it runs.
 class LedgerPartitions {
  public:
   explicit LedgerPartitions(LedgerPartitionsKnobs knobs) : knobs_(knobs) {}
 
-  /// Choice 0 is the turn's own partition; 1: where it stands when that one was out of order.
+  /// Choice 0 is the preferred partition. Choice 1 is the fallback while that one is unavailable.
   [[nodiscard]] logstore::PartitionAddress ofTurn(const TurnPlacement& placement,
                                                   std::string_view turn) const;
-  /// \return the zone of a partition of confined turns; nothing for every other partition.
+  /// \return the zone of a partition of confined turns; nothing for any other partition.
   [[nodiscard]] static std::optional<std::string> confinedZoneOf(
       const logstore::PartitionAddress& partition);
   [[nodiscard]] logstore::PartitionAddress ofBudget(std::string_view program) const;
--- a/src/ledger/ledger_service.cpp
+++ b/src/ledger/ledger_service.cpp
@@ -66,8 +66,8 @@
   return layout.ofBudget(std::get<SettleRequest>(request).settlement.program);
 }
 
-bool LedgerService::decidesReservations(const std::string& program) const {
-  return ledger_.decidesReservations(ledger_.layout().ofBudget(program));
+bool LedgerService::canDecideReservations(const std::string& program) const {
+  return ledger_.canDecideReservations(ledger_.layout().ofBudget(program));
 }
 
 void LedgerService::handleForPeer(LedgerRequest request, LedgerReplyCallback callback) {
@@ -80,13 +80,13 @@
     return;
   }
   if (const auto* const find = std::get_if<FindTurnRequest>(&request)) {
-    if (ledger_.remembersTurn(find->turn)) {
+    if (ledger_.isTurnCached(find->turn)) {
       run(*find, callback);
       return;
     }
   }
   if (const auto* const settle = std::get_if<SettleRequest>(&request)) {
-    if (ledger_.budgetsOf(settle->settlement.program).isAhead(settle->settlement.request)) {
+    if (ledger_.budgetsOf(settle->settlement.program).isUnrecorded(settle->settlement.request)) {
       run(*settle, callback);
       return;
     }
@@ -94,7 +94,7 @@
   LedgerReply reply;
   reply.reason = "the store does not answer the home";
   if (const auto* const settle = std::get_if<SettleRequest>(&request)) {
-    reply.decidesReservations = decidesReservations(settle->settlement.program);
+    reply.canDecideReservations = canDecideReservations(settle->settlement.program);
   }
   callback(std::move(reply));
 }
@@ -120,14 +120,14 @@
                [this, program = request.budget.reservation.program,
                 callback = std::move(callback)](const ReservationReply& reservation) {
                  LedgerReply reply = replyOf(reservation);
-                 reply.decidesReservations = decidesReservations(program);
+                 reply.canDecideReservations = canDecideReservations(program);
                  callback(std::move(reply));
                });
 }
 
 void LedgerService::run(SettleRequest request, const LedgerReplyCallback& callback) {
   LedgerReply reply;
-  reply.decidesReservations = decidesReservations(request.settlement.program);
+  reply.canDecideReservations = canDecideReservations(request.settlement.program);
   ledger_.settle(std::move(request.settlement));
   reply.outcome = LedgerOutcome::Done;
   callback(std::move(reply));
--- a/src/ledger/ledger_service.h
+++ b/src/ledger/ledger_service.h
@@ -1,4 +1,4 @@
-/// \file Answers ledger calls, of this node's own requests and of other nodes.
+/// \file Serves ledger calls of this node's own requests and of other nodes.
 #pragma once
 
 #include <functional>
@@ -11,24 +11,24 @@
 
 using LedgerReplyCallback = std::function<void(LedgerReply)>;
 
-/// The home's side of calls. Any node may be asked for any partition: being a home only makes it
-/// quicker, since the home has read the partition already and gathers its appends.
+/// The coordinator's side of ledger calls. Any node can serve any partition. The coordinator is
+/// only faster, because it has already read the partition and batches its appends.
 class LedgerService {
  public:
-  /// \param ledger outlives this object.
+  /// \param ledger must outlive this object.
   explicit LedgerService(ProgramLedger& ledger) : ledger_(ledger) {}
-  /// For this node's own requests: waits for the store as long as the request's limit allows.
-  /// Calls back once.
+  /// For this node's own requests: waits for the store up to the request's time limit. Calls back
+  /// once.
   void handle(LedgerRequest request, LedgerReplyCallback callback);
-  /// For other nodes: replies at once while the store does not answer here, since another node may
-  /// reach it. Calls back once.
+  /// For other nodes: replies immediately while the store does not answer this node, since another
+  /// node may reach it. Calls back once.
   void handleForPeer(LedgerRequest request, LedgerReplyCallback callback);
-  /// See `BudgetPartition`.
-  void keepLease(const logstore::PartitionAddress& budgets) {
-    ledger_.budgetsAt(budgets).keepLease();
+  /// See `BudgetPartition::maintainLease` and `BudgetPartition::releaseLease`.
+  void maintainLease(const logstore::PartitionAddress& budgets) {
+    ledger_.budgetsAt(budgets).maintainLease();
   }
-  void giveLeaseBack(const logstore::PartitionAddress& budgets) {
-    ledger_.budgetsAt(budgets).giveLeaseBack();
+  void releaseLease(const logstore::PartitionAddress& budgets) {
+    ledger_.budgetsAt(budgets).releaseLease();
   }
   /// \return whether the store is likely to answer this node for the partition.
   [[nodiscard]] bool answers(const logstore::PartitionAddress& partition) const {
@@ -37,7 +37,7 @@
 
  private:
   [[nodiscard]] logstore::PartitionAddress partitionOf(const LedgerRequest& request) const;
-  [[nodiscard]] bool decidesReservations(const std::string& program) const;
+  [[nodiscard]] bool canDecideReservations(const std::string& program) const;
   void run(const FindTurnRequest& request, LedgerReplyCallback callback);
   void run(StoreTurnRequest request, LedgerReplyCallback callback);
   void run(const ReserveRequest& request, LedgerReplyCallback callback);
--- a/src/ledger/partition_reader.cpp
+++ b/src/ledger/partition_reader.cpp
@@ -6,9 +6,8 @@
 namespace gorsetrail::ledger {
 namespace {
 
-/// A read is given up after this long; those who wait are told.
 constexpr Duration kReadTimeLimit = milliseconds(1500);
-/// A full answer over a link of 10 Mbit/s.
+/// Time to transfer a full reply over a 10 Mbit/s link.
 constexpr Duration kReadTransferTime = milliseconds(200);
 
 }  // namespace
@@ -26,7 +25,7 @@
   startPass();
 }
 
-void PartitionReader::noteOwnRecords(std::uint64_t offset, std::uint64_t count) {
+void PartitionReader::skipOwnRecords(std::uint64_t offset, std::uint64_t count) {
   if (position_ == offset && !inPass_) {
     position_ = offset + count;
   }
@@ -45,7 +44,7 @@
     return;
   }
   inPass_ = true;
-  dropServedWaiters();
+  completeSatisfiedWaiters();
   served_ = std::move(waiting_);
   waiting_.clear();
   passEnd_.reset();
@@ -56,7 +55,7 @@
   }
 }
 
-void PartitionReader::dropServedWaiters() {
+void PartitionReader::completeSatisfiedWaiters() {
   std::vector<Waiter> ready;
   const auto isReady = [this](const Waiter& waiter) {
     return waiter.below && *waiter.below <= position_;
@@ -98,7 +97,7 @@
   }
   const auto& reply = std::get<logstore::ReadReply>(result);
   passEnd_ = passEnd_.value_or(reply.end);
-  takeRecords(reply);
+  deliverRecords(reply);
   if (position_ >= *passEnd_) {
     endPass(Success{});
   } else if (position_ > readStart_) {
@@ -108,7 +107,7 @@
   }
 }
 
-void PartitionReader::takeRecords(const logstore::ReadReply& reply) {
+void PartitionReader::deliverRecords(const logstore::ReadReply& reply) {
   position_ = std::max(readStart_, reply.firstKept);
   for (const std::string& record : reply.records) {
     observer_(position_, record);
--- a/src/ledger/partition_reader.h
+++ b/src/ledger/partition_reader.h
@@ -1,4 +1,4 @@
-/// \file Reads one partition of the log in order, as far as its users need it.
+/// \file Reads one partition of the log sequentially.
 #pragma once
 
 #include <cstdint>
@@ -13,29 +13,31 @@
 
 namespace gorsetrail::ledger {
 
-/// Called with each record that is read, in order; again for the same one after a rewind.
+/// Called with each record in order; called again for the same record after a rewind.
 using RecordObserver = std::function<void(std::uint64_t offset, std::string_view record)>;
-/// Told whether everything asked for was read.
+/// Called with the result once everything requested was read.
 using ReadCallback = std::function<void(logstore::StoreResult<Success>)>;
 
-/// Reads in passes: a pass goes from the position to the end that its first read reports, and
-/// serves everybody who asked before it began. Only after such a pass may absence be concluded.
+/// Reads in passes. A pass goes from the current position to the end offset that its first read
+/// reports, and completes all requests made before it began. Only such a pass proves that a record
+/// does not exist.
 class PartitionReader : public std::enable_shared_from_this<PartitionReader> {
  public:
   PartitionReader(logstore::LogStore& store, logstore::PartitionAddress address);
 
-  /// Sets who is told of records; before the first read.
-  void observe(RecordObserver observer) { observer_ = std::move(observer); }
-  /// Reads everything that stands in the partition now.
+  /// Sets the observer of records. Call it before the first read.
+  void setObserver(RecordObserver observer) { observer_ = std::move(observer); }
+  /// Reads all records that the partition holds now.
   void readToEnd(ReadCallback callback);
-  /// Reads all records below `offset`; they exist.
+  /// Reads all records below `offset`, which must exist.
   void readBelow(std::uint64_t offset, ReadCallback callback);
-  /// This node appended these records itself: they need not be read if all before them were.
-  void noteOwnRecords(std::uint64_t offset, std::uint64_t count);
-  /// Records from `offset` on were not kept: the next pass reads them again.
+  /// Advances the position over records that this node appended itself, if everything before them
+  /// was read.
+  void skipOwnRecords(std::uint64_t offset, std::uint64_t count);
+  /// Schedules the records from `offset` on to be read again, because they were not cached.
   void rewindTo(std::uint64_t offset);
 
-  /// \return offset behind the last record read.
+  /// \return the offset of the next record to read.
   [[nodiscard]] std::uint64_t position() const { return position_; }
 
  private:
@@ -45,22 +47,22 @@
   };
 
   void startPass();
-  void dropServedWaiters();
+  void completeSatisfiedWaiters();
   void readNext();
   void onRead(logstore::StoreResult<logstore::ReadReply> result);
-  void takeRecords(const logstore::ReadReply& reply);
+  void deliverRecords(const logstore::ReadReply& reply);
   void endPass(const logstore::StoreResult<Success>& result);
 
   logstore::LogStore& store_;
   logstore::PartitionAddress address_;
   RecordObserver observer_;
   std::uint64_t position_ = 0;
-  std::optional<std::uint64_t> rewound_;  ///< Asked for during a pass.
+  std::optional<std::uint64_t> rewound_;  ///< Requested during a pass.
   bool inPass_ = false;
   std::optional<std::uint64_t> passEnd_;
   std::uint64_t readStart_ = 0;
-  std::vector<Waiter> served_;   ///< By the pass under way.
-  std::vector<Waiter> waiting_;  ///< For the next one.
+  std::vector<Waiter> served_;   ///< By the current pass.
+  std::vector<Waiter> waiting_;  ///< For the next pass.
 };
 
 }  // namespace gorsetrail::ledger
--- a/src/ledger/program_ledger.cpp
+++ b/src/ledger/program_ledger.cpp
@@ -5,7 +5,7 @@
 namespace gorsetrail::ledger {
 namespace {
 
-/// Room that a record needs beside its history.
+/// Upper bound of a record's size without its history.
 constexpr std::size_t kRecordOverheadBytes = 512;
 
 }  // namespace
@@ -18,7 +18,7 @@
       knobs_(std::move(knobs)),
       layout_(knobs_.partitions),
       turns_(knobs_.cacheBytes,
-             [](const TurnPlace& place) { place.reader->rewindTo(place.offset); }) {}
+             [](const TurnPosition& position) { position.reader->rewindTo(position.offset); }) {}
 
 ProgramLedger::Partition& ProgramLedger::partitionAt(const logstore::PartitionAddress& address) {
   const auto [entry, isNew] = partitions_.try_emplace(address);
@@ -26,7 +26,7 @@
   if (isNew) {
     partition.reader = std::make_shared<PartitionReader>(store_, address);
     PartitionReader* const reader = partition.reader.get();
-    reader->observe([this, reader](std::uint64_t offset, std::string_view record) {
+    reader->setObserver([this, reader](std::uint64_t offset, std::string_view record) {
       onRecord(reader, offset, record);
     });
     partition.batcher = std::make_unique<logstore::AppendBatcher>(store_, timers_, clock_, address,
@@ -42,15 +42,15 @@
     return;
   }
   if (auto* const turn = std::get_if<CompletedTurn>(&valueOf(decoded))) {
-    keepTurn(std::move(*turn), reader, offset);
+    cacheTurn(std::move(*turn), reader, offset);
   }
 }
 
-void ProgramLedger::keepTurn(CompletedTurn turn, PartitionReader* reader, std::uint64_t offset) {
-  const TurnPlace place{reader, offset};
-  if (wanted_.count(turn.request) > 0) {
-    turns_.put(std::move(turn), place);
-  } else if (!turns_.putIfRoom(std::move(turn), place)) {
+void ProgramLedger::cacheTurn(CompletedTurn turn, PartitionReader* reader, std::uint64_t offset) {
+  const TurnPosition position{reader, offset};
+  if (lookupCounts_.count(turn.request) > 0) {
+    turns_.insert(std::move(turn), position);
+  } else if (!turns_.insertIfRoom(std::move(turn), position)) {
     reader->rewindTo(offset);
   }
 }
@@ -61,13 +61,13 @@
     callback(*cached);
     return;
   }
-  ++wanted_[turn];
+  ++lookupCounts_[turn];
   const logstore::PartitionAddress partition = layout_.ofTurn(placement, turn);
   partitionAt(partition).reader->readToEnd(
       [this, turn, partition, choice = placement.choice,
        callback = std::move(callback)](const logstore::StoreResult<Success>& read) {
-        if (--wanted_[turn] == 0) {
-          wanted_.erase(turn);
+        if (--lookupCounts_[turn] == 0) {
+          lookupCounts_.erase(turn);
         }
         if (const auto* const error = std::get_if<logstore::StoreError>(&read)) {
           callback(LedgerUnavailable{
@@ -106,7 +106,7 @@
   findHistory({base, zones}, [base, addition = std::move(turn.history),
                               callback = std::move(callback)](HistoryAnswer answer) {
     if (auto* const history = std::get_if<History>(&answer)) {
-      *history = appendPiece(std::move(*history), base, addition);
+      *history = extendHistory(std::move(*history), base, addition);
     }
     callback(std::move(answer));
   });
@@ -114,7 +114,7 @@
 
 void ProgramLedger::storeTurn(TurnToStore turn, Duration timeLimit, StoredCallback callback) {
   const TurnPlacement placement = placementFor(turn.zones);
-  storeRecord(placement, completedTurnOf(std::move(turn), knobs_.maximumInlineHistoryBytes),
+  storeRecord(placement, makeCompletedTurn(std::move(turn), knobs_.maximumInlineHistoryBytes),
               timeLimit, std::move(callback));
 }
 
@@ -135,8 +135,8 @@
           return;
         }
         const std::uint64_t offset = std::get<std::uint64_t>(result);
-        turns_.put(record, {reader, offset});
-        reader->noteOwnRecords(offset, 1);
+        turns_.insert(record, {reader, offset});
+        reader->skipOwnRecords(offset, 1);
         callback(Success{});
       });
 }
@@ -173,17 +173,17 @@
 }
 
 ReservationOutlook ProgramLedger::reservationOutlook(const std::string& program) {
-  return decidesReservations(layout_.ofBudget(program)) ? ReservationOutlook::Likely
-                                                        : ReservationOutlook::Unlikely;
+  return canDecideReservations(layout_.ofBudget(program)) ? ReservationOutlook::Likely
+                                                          : ReservationOutlook::Unlikely;
 }
 
-bool ProgramLedger::decidesReservations(const logstore::PartitionAddress& budgets) {
+bool ProgramLedger::canDecideReservations(const logstore::PartitionAddress& budgets) {
   return store_.answers(budgets) || budgetsAt(budgets).holdsLease();
 }
 
 std::uint64_t ProgramLedger::knownUse(const std::string& program) const {
   const auto budgets = budgets_.find(layout_.ofBudget(program));
-  return budgets == budgets_.end() ? 0 : budgets->second->usedBy(program);
+  return budgets == budgets_.end() ? 0 : budgets->second->tokensUsedBy(program);
 }
 
 void ProgramLedger::sweep() {
@@ -209,7 +209,7 @@
 std::size_t ProgramLedger::unrecordedGrants() const {
   std::size_t sum = 0;
   for (const auto& [address, partition] : budgets_) {
-    sum += partition->unrecorded();
+    sum += partition->unrecordedGrants();
   }
   return sum;
 }
--- a/src/ledger/program_ledger.h
+++ b/src/ledger/program_ledger.h
@@ -1,8 +1,7 @@
-/// \file Histories and budgets of programs, read and written straight in the shared log.
-///
-/// No node owns a program. Every node appends facts and reads the log of the program it is asked
-/// about; the log's order decides. So there is nothing to take over when a node dies, and nothing
-/// to fence when one was paused.
+/// \file A ledger that reads and writes the shared log directly.
+/// No node owns a program. Every node appends facts and reads the partitions it needs, and the
+/// order of the log decides. So no failover is needed when a node dies, and no fencing when one was
+/// paused.
 #pragma once
 
 #include <cstdint>
@@ -27,17 +26,17 @@
 
 namespace gorsetrail::ledger {
 
-/// A turn's own record, or why there is none.
+/// A turn's own record, or why it is not available.
 using TurnAnswer = std::variant<CompletedTurn, UnknownTurn, LedgerUnavailable>;
 
-/// Sizes and times of the ledger.
+/// Settings of `ProgramLedger`.
 struct LedgerKnobs {
-  std::string zone;  ///< New turns stand in this zone's partitions.
+  std::string zone;  ///< New turns are stored in this zone's partitions.
   LedgerPartitionsKnobs partitions;
   std::size_t cacheBytes = std::size_t{24} * 1024 * 1024;
   std::size_t maximumInlineHistoryBytes = std::size_t{32} * 1024;
   std::size_t maximumRecordBytes = std::size_t{256} * 1024;
-  /// How long turns wait for others that share their append: the end of an answer waits for it.
+  /// How long a turn waits for others to share its append. It delays the end of the answer.
   Duration turnWindow = milliseconds(8);
   BudgetPartitionKnobs budgets;
 };
@@ -46,11 +45,12 @@
  public:
   using TurnCallback = std::function<void(TurnAnswer)>;
 
-  /// \param store, timers outlive this object.
+  /// \param store, timers must outlive this object.
   ProgramLedger(logstore::PersistentStore& store, services::TimerService& timers,
                 logstore::ClockFunction clock, LedgerKnobs knobs);
 
-  // See `Ledger`. Turns are looked for in the own zone's partitions.
+  // See `Ledger`. Turns are searched only in the preferred partition of the own or first allowed
+  // zone.
   void findHistory(const TurnName& turn, HistoryCallback callback) override;
   void storeTurn(TurnToStore turn, Duration timeLimit, StoredCallback callback) override;
   void reserve(const BudgetRequest& request, Duration timeLimit,
@@ -60,7 +60,7 @@
   [[nodiscard]] ReservationOutlook reservationOutlook(const std::string& program) override;
   [[nodiscard]] std::uint64_t knownUse(const std::string& program) const override;
 
-  /// Finds a turn's own record in one partition. Calls back at once when it is in memory.
+  /// Finds a turn's own record in one partition. Calls back synchronously if it is cached.
   void findTurn(const TurnPlacement& placement, const std::string& turn, TurnCallback callback);
   /// Stores a turn's record in one partition.
   void storeRecord(const TurnPlacement& placement, CompletedTurn record, Duration timeLimit,
@@ -71,21 +71,21 @@
   }
   BudgetPartition& budgetsAt(const logstore::PartitionAddress& address);
 
-  /// \return whether the turn is in memory: it is found then without the store.
-  [[nodiscard]] bool remembersTurn(const std::string& turn) { return turns_.find(turn) != nullptr; }
+  /// \return whether the turn is cached and can be found without the store.
+  [[nodiscard]] bool isTurnCached(const std::string& turn) { return turns_.find(turn) != nullptr; }
   /// \return whether the store is likely to answer calls for the partition now.
   [[nodiscard]] bool answers(const logstore::PartitionAddress& partition) const {
     return store_.answers(partition);
   }
-  /// \return whether this node can probably decide reservations, by the log or by a lease.
-  [[nodiscard]] bool decidesReservations(const logstore::PartitionAddress& budgets);
+  /// \return whether this node can probably decide reservations, by the log or under a lease.
+  [[nodiscard]] bool canDecideReservations(const logstore::PartitionAddress& budgets);
   [[nodiscard]] const LedgerPartitions& layout() const { return layout_; }
 
-  /// Forgets accounts of programs long gone; call it now and then.
+  /// Removes idle accounts and old leases. Call it periodically.
   void sweep();
-  /// \return figures of all budget partitions together.
+  /// \return the sums over all budget partitions.
   [[nodiscard]] BudgetCounters budgetCounters() const;
-  /// \return requests granted ahead whose records do not stand yet.
+  /// \return the number of requests granted under leases and not recorded yet.
   [[nodiscard]] std::size_t unrecordedGrants() const;
 
  private:
@@ -96,7 +96,7 @@
 
   Partition& partitionAt(const logstore::PartitionAddress& address);
   void onRecord(PartitionReader* reader, std::uint64_t offset, std::string_view record);
-  void keepTurn(CompletedTurn turn, PartitionReader* reader, std::uint64_t offset);
+  void cacheTurn(CompletedTurn turn, PartitionReader* reader, std::uint64_t offset);
   [[nodiscard]] TurnPlacement placementFor(const TurnZones& zones) const;
   void findBase(CompletedTurn turn, const TurnZones& zones, HistoryCallback callback);
 
@@ -105,12 +105,13 @@
   logstore::ClockFunction clock_;
   LedgerKnobs knobs_;
   LedgerPartitions layout_;
-  /// Turns that are being looked for, with the number of those who look: a pass keeps them even
-  /// when memory is full, so that looking for one always ends.
-  std::unordered_map<std::string, std::uint32_t> wanted_;
-  std::map<logstore::PartitionAddress, Partition> partitions_;  ///< Made when used.
+  /// Turns being looked up, with the number of lookups. A read pass caches them even when the cache
+  /// is full, so that every lookup terminates.
+  std::unordered_map<std::string, std::uint32_t> lookupCounts_;
+  std::map<logstore::PartitionAddress, Partition> partitions_;  ///< Created on first use.
   TurnCache turns_;
-  std::map<logstore::PartitionAddress, std::unique_ptr<BudgetPartition>> budgets_;  ///< Likewise.
+  std::map<logstore::PartitionAddress, std::unique_ptr<BudgetPartition>>
+      budgets_;  ///< Created on first use.
 };
 
 }  // namespace gorsetrail::ledger
--- a/src/ledger/reservation.h
+++ b/src/ledger/reservation.h
@@ -1,4 +1,4 @@
-/// \file What became of a reservation of a program's budget, and by which figures.
+/// \file The outcome of a budget reservation, with the figures that decided it.
 #pragma once
 
 #include <cstdint>
@@ -10,47 +10,46 @@
 
 namespace gorsetrail::ledger {
 
-/// What became of a reservation.
 enum class ReservationOutcome : std::uint8_t {
-  Granted,      ///< It fits the budget, and stands in the log or under a lease.
-  Spent,        ///< It does not fit; it was given back.
-  Unavailable,  ///< The log did not answer: it may stand or not.
+  Granted,      ///< It fits the budget, and is recorded in the log or covered by a lease.
+  Spent,        ///< It does not fit; it was settled with zero tokens.
+  Unavailable,  ///< Undecided: its record may or may not be in the log.
 };
 
 /// Why a reservation is `Unavailable`. The numbers are part of the wire format.
 enum class UndecidedReason : std::uint8_t {
-  Unknown = 0,            ///< The node that replied does not tell: an older version.
-  UnseenSpending = 1,     ///< It would fit, but leases of others may have spent the rest unseen.
-  DecidedTooLate = 2,     ///< The program's remaining time was told too long ago.
+  Unknown = 0,  ///< The replying node runs an older version that does not report it.
+  UnseenSpending =
+      1,  ///< It would fit, but the rest may have been spent under leases of other nodes.
+  DecidedTooLate = 2,     ///< The program's remaining time was received too long ago.
   NoLease = 3,            ///< No lease is held, and the store does not answer.
   LeaseInsufficient = 4,  ///< The lease does not cover the turn, and the store does not answer.
-  AppendFailed = 5,       ///< The store did not take the record.
-  ReadFailed = 6,         ///< The record stands, but what stands before it could not be read.
-  NoAnswer = 7,           ///< No node that was asked replied.
-  NodesNotKnown = 8,      ///< The asking node has not listed the others yet.
+  AppendFailed = 5,       ///< The store did not accept the record.
+  ReadFailed = 6,         ///< The record was appended, but earlier records could not be read.
+  NoAnswer = 7,           ///< No node replied.
+  NodesNotKnown = 8,      ///< The calling node has not received the list of nodes yet.
 };
 
-/// \return the reason's stable name, for log lines.
+/// \return the reason's stable name for log lines.
 std::string_view undecidedReasonName(UndecidedReason reason);
 
-/// Leases under which a program may have spent tokens unseen; each value includes those before it.
-/// The numbers are part of the wire format.
+/// Leases under which a program may have spent tokens without a record. Each value covers the
+/// smaller ones. The numbers are part of the wire format.
 enum class UnseenSpending : std::uint8_t { None = 0, Secondary = 1, Primary = 2, Both = 3 };
 
-/// \return the stable name of the leases, for log lines.
+/// \return the stable name of the leases for log lines.
 std::string_view unseenSpendingName(UnseenSpending spending);
 
-/// A reservation's outcome with the figures that decided it.
 struct ReservationReply {
   ReservationOutcome outcome = ReservationOutcome::Unavailable;
-  /// What the program has used or may use, a granted reservation included.
+  /// Used or reserved by the program, including a granted reservation.
   std::uint64_t tokensUsed = 0;
-  UndecidedReason reason = UndecidedReason::Unknown;   ///< Only where it is `Unavailable`.
-  UnseenSpending unseenLeases = UnseenSpending::None;  ///< Counted besides `tokensUsed`.
-  std::uint64_t tokensUnseen = 0;                      ///< The most spent under `unseenLeases`.
-  std::string partition{};                             ///< That holds the program's budget.
-  std::string repliedBy{};               ///< The node whose word this is; may be empty.
-  std::vector<CoordinatorWord> asked{};  ///< In the order they were asked.
+  UndecidedReason reason = UndecidedReason::Unknown;   ///< Set if the outcome is `Unavailable`.
+  UnseenSpending unseenLeases = UnseenSpending::None;  ///< Counted in addition to `tokensUsed`.
+  std::uint64_t tokensUnseen = 0;                      ///< Upper bound spent under `unseenLeases`.
+  std::string partition{};                             ///< The program's budget partition.
+  std::string repliedBy{};                 ///< The node that sent the reply; may be empty.
+  std::vector<CoordinatorReport> asked{};  ///< In the order they were called.
 };
 
 }  // namespace gorsetrail::ledger
--- a/src/ledger/routed_ledger.cpp
+++ b/src/ledger/routed_ledger.cpp
@@ -6,7 +6,7 @@
 namespace gorsetrail::ledger {
 namespace {
 
-/// A partition counts as out of order after this many failures close together.
+/// Opens after two failures in quick succession.
 engine::CircuitKnobs breakerKnobs() {
   engine::CircuitKnobs knobs;
   knobs.failuresToOpen = 1.5;
@@ -16,13 +16,13 @@
   return knobs;
 }
 
-/// \return whether the one who carries this out must have read the partition.
+/// \return whether a node must read the partition to serve the request.
 bool readsPartition(const LedgerRequest& request) {
   return std::holds_alternative<FindTurnRequest>(request) ||
          std::holds_alternative<ReserveRequest>(request);
 }
 
-/// \return where the turn stands that a call is about; null for calls about budgets.
+/// \return the placement of the turn that a call is about; null for budget calls.
 const TurnPlacement* placementOf(const LedgerRequest& request) {
   if (const auto* const find = std::get_if<FindTurnRequest>(&request)) {
     return &find->placement;
@@ -47,15 +47,15 @@
   return ReservationOutcome::Unavailable;
 }
 
-ReservationReply reservationReplyOf(CallEnd end) {
+ReservationReply reservationReplyOf(CallResult end) {
   ReservationReply reply;
   reply.outcome = reservationOutcomeOf(end.reply.outcome);
   reply.tokensUsed = end.reply.tokensUsed;
   reply.reason = end.reply.undecided;
   reply.unseenLeases = end.reply.unseenLeases;
   reply.tokensUnseen = end.reply.tokensUnseen;
-  const bool nobodyReplied = end.repliedBy.empty();
-  if (nobodyReplied && reply.reason == UndecidedReason::Unknown) {
+  const bool noReply = end.repliedBy.empty();
+  if (noReply && reply.reason == UndecidedReason::Unknown) {
     reply.reason = UndecidedReason::NoAnswer;
   }
   reply.repliedBy = std::move(end.repliedBy);
@@ -65,29 +65,35 @@
 
 }  // namespace
 
-/// One call at the homes it was sent to.
+/// A call and the coordinators it was sent to.
 struct RoutedLedger::Call {
   LedgerRequest request;
   logstore::PartitionAddress partition;
-  std::vector<std::string> homes;  ///< In the order they are asked; the last is this node.
-  CallEndCallback callback;
+  std::vector<std::string>
+      coordinators;  ///< Node addresses in call order; the last may be this node.
+  CallResultCallback callback;
   Instant startedAt;
   Instant deadline;
-  std::size_t started = 0;
-  bool endsAtOwnNode = false;       ///< The last of `homes` is this node, which is no home.
-  bool homeLives = false;           ///< A home replied, or answered a liveness probe.
-  std::vector<std::string> silent;  ///< Asked, and not heard of yet.
-  /// Asked, and without a sign of life since: not waited for, but a reply of theirs still counts.
-  std::vector<std::string> givenUp;
-  std::vector<CoordinatorWord> asked;  ///< What each node said, for log lines.
-  /// The last reply that tells why a reservation is not decided; a later failure tells less.
+  std::size_t attempts = 0;
+  bool endsAtThisNode =
+      false;  ///< The last of `coordinators` is this node, which does not coordinate the partition.
+  bool coordinatorAlive = false;           ///< A coordinator replied or answered a liveness probe.
+  std::vector<std::string> awaitingReply;  ///< Called and not replied yet.
+  /// Called and failed a liveness probe: not waited for, but a late reply still counts.
+  std::vector<std::string> abandoned;
+  std::vector<CoordinatorReport> asked;  ///< Responses of all nodes called, for log lines.
+  /// The last reply with a reason why a reservation is undecided; kept over later failures without
+  /// one.
   std::optional<LedgerReply> undecided;
-  std::string repliedBy;  ///< Whose reply counts; until the end, whose `undecided` is.
+  std::string
+      repliedBy;  ///< The node whose reply counts; before the end, the node that sent `undecided`.
   bool done = false;
 
-  void note(const std::string& home, CoordinatorState state, std::string reason = {}) {
-    const auto word = std::find_if(asked.begin(), asked.end(),
-                                   [&](const CoordinatorWord& one) { return one.address == home; });
+  void setResponse(const std::string& coordinator, CoordinatorState state,
+                   std::string reason = {}) {
+    const auto word = std::find_if(asked.begin(), asked.end(), [&](const CoordinatorReport& one) {
+      return one.address == coordinator;
+    });
     word->state = state;
     word->reason = std::move(reason);
   }
@@ -102,7 +108,7 @@
       clock_(std::move(clock)),
       knobs_(std::move(knobs)),
       layout_(knobs_.partitions),
-      homes_({}),
+      selector_({}),
       pacer_(knobs_.pace, seed) {
   setZones(std::move(knobs_.zones), std::move(knobs_.regionOfZone));
 }
@@ -116,13 +122,13 @@
   }
 }
 
-void RoutedLedger::fail(LedgerReply reply, CallEndCallback callback) {
+void RoutedLedger::failAsync(LedgerReply reply, CallResultCallback callback) {
   timers_.runAfter(Duration::zero(), [callback = std::move(callback), reply = std::move(reply)] {
     callback({reply, {}, {}, false});
   });
 }
 
-bool RoutedLedger::areNear(std::string_view zone, std::string_view other) const {
+bool RoutedLedger::inSameRegion(std::string_view zone, std::string_view other) const {
   const auto one = knobs_.regionOfZone.find(zone);
   const auto two = knobs_.regionOfZone.find(other);
   const bool bothKnown = one != knobs_.regionOfZone.end() && two != knobs_.regionOfZone.end();
@@ -133,223 +139,233 @@
   std::vector<HomeCandidate> candidates = peers_.candidates();
   if (placement != nullptr && placement->confined) {
     std::erase_if(candidates, [&](const HomeCandidate& candidate) {
-      return !areNear(placement->zone, candidate.zone);
+      return !inSameRegion(placement->zone, candidate.zone);
     });
   }
   return candidates;
 }
 
-void RoutedLedger::start(LedgerRequest request, const logstore::PartitionAddress& partition,
-                         const std::string& homeZone, Duration timeLimit,
-                         CallEndCallback callback) {
+void RoutedLedger::startCall(LedgerRequest request, const logstore::PartitionAddress& partition,
+                             const std::string& preferredZone, Duration timeLimit,
+                             CallResultCallback callback) {
   if (!peers_.areKnown()) {
     LedgerReply reply;
     reply.reason = "other nodes are not known yet";
     reply.undecided = UndecidedReason::NodesNotKnown;
-    fail(std::move(reply), std::move(callback));
+    failAsync(std::move(reply), std::move(callback));
     return;
   }
   auto call = std::make_shared<Call>();
   call->request = std::move(request);
   call->partition = partition;
   const TurnPlacement* const placement = placementOf(call->request);
-  call->homes = homes_.homesOf(partition, homeZone, candidatesFor(placement), clock_());
+  call->coordinators =
+      selector_.homesOf(partition, preferredZone, candidatesFor(placement), clock_());
   const bool mayReadHere =
-      placement == nullptr || !placement->confined || areNear(placement->zone, knobs_.zone);
-  const bool mayEndHere = mayReadHere || !readsPartition(call->request);
-  const auto own = std::find(call->homes.begin(), call->homes.end(), knobs_.ownAddress);
-  if (own == call->homes.end() && mayEndHere) {
-    call->endsAtOwnNode = !call->homes.empty();
-    call->homes.push_back(knobs_.ownAddress);
-  }
-  if (call->homes.empty()) {
+      placement == nullptr || !placement->confined || inSameRegion(placement->zone, knobs_.zone);
+  const bool mayUseThisNode = mayReadHere || !readsPartition(call->request);
+  const auto own =
+      std::find(call->coordinators.begin(), call->coordinators.end(), knobs_.ownAddress);
+  if (own == call->coordinators.end() && mayUseThisNode) {
+    call->endsAtThisNode = !call->coordinators.empty();
+    call->coordinators.push_back(knobs_.ownAddress);
+  }
+  if (call->coordinators.empty()) {
     LedgerReply reply;
     reply.reason = "no node of the turn's region serves";
-    fail(std::move(reply), std::move(callback));
+    failAsync(std::move(reply), std::move(callback));
     return;
   }
   call->callback = std::move(callback);
   call->startedAt = clock_();
   call->deadline = call->startedAt + timeLimit;
   ++counters_.calls;
-  tryNext(call);
+  callNext(call);
 }
 
 bool RoutedLedger::hasNext(const Call& call) const {
-  const bool isOwnTurn = call.endsAtOwnNode && call.started + 1 == call.homes.size();
-  const bool wouldReadAround = isOwnTurn && call.homeLives && readsPartition(call.request);
-  return call.started < call.homes.size() && !wouldReadAround;
+  const bool isThisNodeNext = call.endsAtThisNode && call.attempts + 1 == call.coordinators.size();
+  const bool wouldBypassCoordinator =
+      isThisNodeNext && call.coordinatorAlive && readsPartition(call.request);
+  return call.attempts < call.coordinators.size() && !wouldBypassCoordinator;
 }
 
-void RoutedLedger::tryNext(const std::shared_ptr<Call>& call) {
-  counters_.passedOn += call->started > 0 ? 1 : 0;
-  const std::string home = call->homes[call->started];
+void RoutedLedger::callNext(const std::shared_ptr<Call>& call) {
+  counters_.passedOn += call->attempts > 0 ? 1 : 0;
+  const std::string coordinator = call->coordinators[call->attempts];
   const Instant now = clock_();
-  const Duration patience = pacer_.patience(static_cast<std::uint32_t>(call->started));
-  ++call->started;
-  call->silent.push_back(home);
-  call->asked.push_back({home, CoordinatorState::Silent, {}});
-  auto onReplied = [this, call, home, now](std::optional<LedgerReply> reply) {
-    onReply(call, home, now, std::move(reply));
+  const Duration probeDelay = pacer_.patience(static_cast<std::uint32_t>(call->attempts));
+  ++call->attempts;
+  call->awaitingReply.push_back(coordinator);
+  call->asked.push_back({coordinator, CoordinatorState::Silent, {}});
+  auto onReplied = [this, call, coordinator, now](std::optional<LedgerReply> reply) {
+    onReply(call, coordinator, now, std::move(reply));
   };
-  if (home == knobs_.ownAddress) {
+  if (coordinator == knobs_.ownAddress) {
     service_.handle(call->request, std::move(onReplied));
   } else {
-    peers_.call(home, call->request, call->deadline - now, std::move(onReplied));
+    peers_.call(coordinator, call->request, call->deadline - now, std::move(onReplied));
   }
-  watchSilence(call, patience);
+  scheduleLivenessProbe(call, probeDelay);
 }
 
-void RoutedLedger::watchSilence(const std::shared_ptr<Call>& call, Duration patience) {
-  timers_.runAfter(patience, [this, weak = std::weak_ptr(call), number = call->started, patience] {
-    const auto waiting = weak.lock();
-    if (waiting && !waiting->done && waiting->started == number) {
-      onImpatience(waiting, patience);
-    }
-  });
+void RoutedLedger::scheduleLivenessProbe(const std::shared_ptr<Call>& call, Duration probeDelay) {
+  timers_.runAfter(probeDelay,
+                   [this, weak = std::weak_ptr(call), number = call->attempts, probeDelay] {
+                     const auto waiting = weak.lock();
+                     if (waiting && !waiting->done && waiting->attempts == number) {
+                       onReplyOverdue(waiting, probeDelay);
+                     }
+                   });
 }
 
-void RoutedLedger::onImpatience(const std::shared_ptr<Call>& call, Duration patience) {
+void RoutedLedger::onReplyOverdue(const std::shared_ptr<Call>& call, Duration probeDelay) {
   if (clock_() >= call->deadline) {
     return;
   }
-  constexpr std::uint32_t kLongPatience = 3;
-  const Duration tooLong = std::max(knobs_.storeTimeLimit, pacer_.patience(kLongPatience));
-  if (clock_() - call->startedAt >= tooLong) {
-    // The home lives, so it waits for the store.
-    noteFailure(call->partition);
+  constexpr std::uint32_t kSlowAttempt = 3;
+  const Duration failureDelay = std::max(knobs_.storeFailureDelay, pacer_.patience(kSlowAttempt));
+  if (clock_() - call->startedAt >= failureDelay) {
+    // The call is overdue at a node that is alive or being probed, so the store is taken to be
+    // failing.
+    recordPartitionFailure(call->partition);
   }
-  const std::string& home = call->homes[call->started - 1];
-  if (home == knobs_.ownAddress) {
-    watchSilence(call, patience);
+  const std::string& coordinator = call->coordinators[call->attempts - 1];
+  if (coordinator == knobs_.ownAddress) {
+    scheduleLivenessProbe(call, probeDelay);
     return;
   }
   peers_.checkAlive(
-      home, knobs_.signOfLifeLimit,
-      [this, weak = std::weak_ptr(call), number = call->started, patience](bool alive) {
+      coordinator, knobs_.livenessProbeTimeout,
+      [this, weak = std::weak_ptr(call), number = call->attempts, probeDelay](bool alive) {
         const auto waiting = weak.lock();
-        if (waiting && !waiting->done && waiting->started == number) {
-          onSignOfLife(waiting, patience, alive);
+        if (waiting && !waiting->done && waiting->attempts == number) {
+          onLivenessResult(waiting, probeDelay, alive);
         }
       });
 }
 
-void RoutedLedger::onSignOfLife(const std::shared_ptr<Call>& call, Duration patience, bool alive) {
+void RoutedLedger::onLivenessResult(const std::shared_ptr<Call>& call, Duration probeDelay,
+                                    bool alive) {
   if (alive) {
-    call->homeLives = true;
-    watchSilence(call, std::max(patience, knobs_.signOfLifePeriod));
+    call->coordinatorAlive = true;
+    scheduleLivenessProbe(call, std::max(probeDelay, knobs_.livenessProbeInterval));
     return;
   }
-  const std::string& home = call->homes[call->started - 1];
-  suspect(home);
-  // Else the call would wait for it until its limit, although the next home says that it can't
-  // help.
-  call->silent.erase(std::remove(call->silent.begin(), call->silent.end(), home),
-                     call->silent.end());
-  call->givenUp.push_back(home);
-  call->note(home, CoordinatorState::NotAlive);
+  const std::string& coordinator = call->coordinators[call->attempts - 1];
+  suspect(coordinator);
+  // Otherwise the call would wait for it until the deadline even if all other coordinators have
+  // failed.
+  call->awaitingReply.erase(
+      std::remove(call->awaitingReply.begin(), call->awaitingReply.end(), coordinator),
+      call->awaitingReply.end());
+  call->abandoned.push_back(coordinator);
+  call->setResponse(coordinator, CoordinatorState::NotAlive);
   if (hasNext(*call)) {
-    tryNext(call);
-  } else if (call->homeLives) {
-    finish(call, LedgerReply{});  // Nobody is left who could say more.
+    callNext(call);
+  } else if (call->coordinatorAlive) {
+    finish(call, LedgerReply{});  // No node is left to call.
   }
 }
 
-void RoutedLedger::onReply(const std::shared_ptr<Call>& call, const std::string& home,
+void RoutedLedger::onReply(const std::shared_ptr<Call>& call, const std::string& coordinator,
                            Instant askedAt, std::optional<LedgerReply> reply) {
   const Instant now = clock_();
-  for (std::vector<std::string>* const homes : {&call->silent, &call->givenUp}) {
-    homes->erase(std::remove(homes->begin(), homes->end(), home), homes->end());
+  for (std::vector<std::string>* const coordinators : {&call->awaitingReply, &call->abandoned}) {
+    coordinators->erase(std::remove(coordinators->begin(), coordinators->end(), coordinator),
+                        coordinators->end());
   }
   if (reply) {
-    noteHint(*call, *reply);
-    call->homeLives = call->homeLives || home != knobs_.ownAddress;
-    if (homes_.clear(home) && knobs_.onSilence) {
-      knobs_.onSilence(home, false);
+    updateUndecidedReport(*call, *reply);
+    call->coordinatorAlive = call->coordinatorAlive || coordinator != knobs_.ownAddress;
+    if (selector_.clearSuspicion(coordinator) && knobs_.onSilence) {
+      knobs_.onSilence(coordinator, false);
     }
     pacer_.onAnswer(now - askedAt);
   } else if (now < call->deadline) {
-    // No connection, or a broken one; at the deadline the home may only have waited for the store.
-    suspect(home);
+    // The connection failed. At the deadline no reply is not a sign of failure, because the
+    // coordinator may be waiting for the store.
+    suspect(coordinator);
   }
   if (call->done) {
     return;
   }
-  noteReply(*call, home, now, reply);
+  recordResponse(*call, coordinator, now, reply);
   if (reply && isConclusive(*reply)) {
     finish(call, std::move(*reply));
     return;
   }
   if (hasNext(*call) && now < call->deadline) {
-    tryNext(call);
-  } else if (call->silent.empty()) {
+    callNext(call);
+  } else if (call->awaitingReply.empty()) {
     finish(call, reply.value_or(LedgerReply{}));
   }
 }
 
-void RoutedLedger::noteReply(Call& call, const std::string& home, Instant now,
-                             const std::optional<LedgerReply>& reply) {
+void RoutedLedger::recordResponse(Call& call, const std::string& coordinator, Instant now,
+                                  const std::optional<LedgerReply>& reply) {
   if (!reply) {
-    // At the deadline the home was only not heard of.
+    // At the deadline the response stays `Silent`.
     if (now < call.deadline) {
-      call.note(home, CoordinatorState::NoReply);
+      call.setResponse(coordinator, CoordinatorState::NoReply);
     }
     return;
   }
   if (isConclusive(*reply)) {
-    call.note(home, CoordinatorState::Answered);
-    call.repliedBy = home;
+    call.setResponse(coordinator, CoordinatorState::Answered);
+    call.repliedBy = coordinator;
     return;
   }
   const bool tellsWhy = reply->undecided != UndecidedReason::Unknown;
-  call.note(home, CoordinatorState::Undecided,
-            tellsWhy ? std::string(undecidedReasonName(reply->undecided)) : reply->reason);
+  call.setResponse(coordinator, CoordinatorState::Undecided,
+                   tellsWhy ? std::string(undecidedReasonName(reply->undecided)) : reply->reason);
   if (tellsWhy) {
     call.undecided = reply;
   }
   if (tellsWhy || call.repliedBy.empty()) {
-    call.repliedBy = home;
+    call.repliedBy = coordinator;
   }
 }
 
 void RoutedLedger::finish(const std::shared_ptr<Call>& call, LedgerReply reply) {
   call->done = true;
   if (isConclusive(reply)) {
-    // Another node answered first: the silent ones are asked last for a while.
-    for (const std::vector<std::string>* const homes : {&call->silent, &call->givenUp}) {
-      for (const std::string& home : *homes) {
-        if (home != knobs_.ownAddress) {
-          suspect(home);
+    // Another node answered first: the unresponsive ones are ranked last for a while.
+    for (const std::vector<std::string>* const coordinators :
+         {&call->awaitingReply, &call->abandoned}) {
+      for (const std::string& coordinator : *coordinators) {
+        if (coordinator != knobs_.ownAddress) {
+          suspect(coordinator);
         }
       }
     }
   }
   if (isConclusive(reply)) {
-    // A home takes a settlement into its memory: that says nothing of reservations.
+    // A settlement succeeds in the coordinator's memory, so it does not show that the store works.
     if (!std::holds_alternative<SettleRequest>(call->request)) {
-      failing_.erase(call->partition);
+      breakers_.erase(call->partition);
     }
   } else {
     ++counters_.failed;
-    noteFailure(call->partition);
+    recordPartitionFailure(call->partition);
   }
   if (!isConclusive(reply) && call->undecided) {
     reply = *call->undecided;
   }
-  const CallEndCallback callback = std::move(call->callback);
-  callback({std::move(reply), call->repliedBy, call->asked, call->homeLives});
+  const CallResultCallback callback = std::move(call->callback);
+  callback({std::move(reply), call->repliedBy, call->asked, call->coordinatorAlive});
 }
 
-void RoutedLedger::suspect(const std::string& home) {
-  const bool isNew = !homes_.isSuspect(home, clock_());
-  homes_.suspect(home, clock_());
-  if (isNew && knobs_.onSilence) {
-    knobs_.onSilence(home, true);
+void RoutedLedger::suspect(const std::string& coordinator) {
+  const bool isNewlySuspected = !selector_.isSuspect(coordinator, clock_());
+  selector_.suspect(coordinator, clock_());
+  if (isNewlySuspected && knobs_.onSilence) {
+    knobs_.onSilence(coordinator, true);
   }
 }
 
-void RoutedLedger::noteFailure(const logstore::PartitionAddress& partition) {
-  const auto entry = failing_.try_emplace(partition, breakerKnobs()).first;
+void RoutedLedger::recordPartitionFailure(const logstore::PartitionAddress& partition) {
+  const auto entry = breakers_.try_emplace(partition, breakerKnobs()).first;
   entry->second.onFailure(clock_());
 }
 
@@ -357,8 +373,8 @@
   if (!service_.answers(partition)) {
     return false;
   }
-  const auto found = failing_.find(partition);
-  return found == failing_.end() || found->second.state(clock_()) != engine::CircuitState::Open;
+  const auto found = breakers_.find(partition);
+  return found == breakers_.end() || found->second.state(clock_()) != engine::CircuitState::Open;
 }
 
 TurnPlacement RoutedLedger::placementFor(const TurnZones& zones, std::uint32_t choice) const {
@@ -366,29 +382,30 @@
   return {confined ? zones.front() : knobs_.zone, choice, confined};
 }
 
-// Where the store does not answer this node the home may hold a lease: it is asked, and a lease
-// decides within a round trip. A turn that is dispatched beside a reservation that nobody can
-// decide ends with an unknown outcome, which its client may not try again.
+// If the store does not answer this node, the coordinator may still decide under a lease within one
+// round trip, so the reservation is awaited before the turn is dispatched. A turn dispatched beside
+// a reservation that nobody can decide would end with an unknown outcome, which the client may not
+// retry.
 ReservationOutlook RoutedLedger::reservationOutlook(const std::string& program) {
   const logstore::PartitionAddress partition = layout_.ofBudget(program);
-  const auto failing = failing_.find(partition);
-  const bool hasFailed = failing != failing_.end();
+  const auto failing = breakers_.find(partition);
+  const bool hasFailed = failing != breakers_.end();
   if (!peers_.areKnown() ||
       (hasFailed && failing->second.state(clock_()) == engine::CircuitState::Open)) {
     return ReservationOutlook::Unlikely;
   }
-  const auto undecided = undecidedAt_.find(partition);
-  const bool isUndecided =
-      undecided != undecidedAt_.end() && clock_() - undecided->second < knobs_.hintLifetime;
+  const auto undecided = undecidedReportedAt_.find(partition);
+  const bool isUndecided = undecided != undecidedReportedAt_.end() &&
+                           clock_() - undecided->second < knobs_.undecidedReportLifetime;
   const bool isDoubtful = hasFailed || isUndecided || !service_.answers(partition);
   return isDoubtful ? ReservationOutlook::Doubtful : ReservationOutlook::Likely;
 }
 
-void RoutedLedger::noteHint(const Call& call, const LedgerReply& reply) {
-  if (!reply.decidesReservations) {
-    undecidedAt_[call.partition] = clock_();
+void RoutedLedger::updateUndecidedReport(const Call& call, const LedgerReply& reply) {
+  if (!reply.canDecideReservations) {
+    undecidedReportedAt_[call.partition] = clock_();
   } else if (std::holds_alternative<ReserveRequest>(call.request) && isConclusive(reply)) {
-    undecidedAt_.erase(call.partition);
+    undecidedReportedAt_.erase(call.partition);
   }
 }
 
@@ -398,46 +415,47 @@
   }
   const std::vector<HomeCandidate> candidates = peers_.candidates();
   for (const logstore::PartitionAddress& partition : layout_.budgetPartitions()) {
-    const std::vector<std::string> homes = homes_.homesOf(partition, {}, candidates, clock_());
-    if (!homes.empty() && homes.front() == knobs_.ownAddress) {
-      service_.keepLease(partition);
+    const std::vector<std::string> coordinators =
+        selector_.homesOf(partition, {}, candidates, clock_());
+    if (!coordinators.empty() && coordinators.front() == knobs_.ownAddress) {
+      service_.maintainLease(partition);
     } else {
-      service_.giveLeaseBack(partition);
+      service_.releaseLease(partition);
     }
   }
 }
 
 void RoutedLedger::giveLeasesBack() {
   for (const logstore::PartitionAddress& partition : layout_.budgetPartitions()) {
-    service_.giveLeaseBack(partition);
+    service_.releaseLease(partition);
   }
 }
 
 void RoutedLedger::reserve(const BudgetRequest& request, Duration timeLimit,
                            ReservationCallback callback) {
   const BudgetReservation& reservation = request.reservation;
-  // The program's remaining time that goes with it grows old.
-  timeLimit = std::min(timeLimit, BudgetLeaseKnobs{}.longestCall);
+  // The program's remaining time in the request becomes stale.
+  timeLimit = std::min(timeLimit, BudgetLeaseKnobs{}.maxDecisionDelay);
   const logstore::PartitionAddress partition = layout_.ofBudget(reservation.program);
-  start(ReserveRequest{request, timeLimit}, partition, {}, timeLimit,
-        [this, reservation, partition, callback = std::move(callback)](CallEnd end) {
-          if (isConclusive(end.reply)) {
-            knownUse_[reservation.program] = {end.reply.tokensUsed, clock_()};
-          }
-          if (end.reply.outcome == LedgerOutcome::BudgetSpent) {
-            // This reply is the one that counts, so nothing will be handed out for the reservation.
-            settle({reservation.request, reservation.program, 0});
-          }
-          ReservationReply reply = reservationReplyOf(std::move(end));
-          reply.partition = logstore::textOf(partition);
-          callback(std::move(reply));
-        });
+  startCall(ReserveRequest{request, timeLimit}, partition, {}, timeLimit,
+            [this, reservation, partition, callback = std::move(callback)](CallResult end) {
+              if (isConclusive(end.reply)) {
+                knownUse_[reservation.program] = {end.reply.tokensUsed, clock_()};
+              }
+              if (end.reply.outcome == LedgerOutcome::BudgetSpent) {
+                // This reply is final, so no tokens will be generated for the reservation.
+                settle({reservation.request, reservation.program, 0});
+              }
+              ReservationReply reply = reservationReplyOf(std::move(end));
+              reply.partition = logstore::textOf(partition);
+              callback(std::move(reply));
+            });
 }
 
 void RoutedLedger::settle(BudgetSettlement settlement) {
   const logstore::PartitionAddress partition = layout_.ofBudget(settlement.program);
-  start(SettleRequest{std::move(settlement)}, partition, {}, knobs_.settleTimeLimit,
-        [](const CallEnd&) {});
+  startCall(SettleRequest{std::move(settlement)}, partition, {}, knobs_.settleTimeLimit,
+            [](const CallResult&) {});
 }
 
 std::uint64_t RoutedLedger::knownUse(const std::string& program) const {
@@ -446,7 +464,7 @@
 }
 
 void RoutedLedger::sweep() {
-  const Instant oldest = clock_() - knobs_.accountLifetime;
+  const Instant oldest = clock_() - knobs_.accountRetention;
   std::erase_if(knownUse_, [oldest](const auto& entry) { return entry.second.heardAt < oldest; });
 }
 
--- a/src/ledger/routed_ledger.h
+++ b/src/ledger/routed_ledger.h
@@ -1,4 +1,4 @@
-/// \file Histories and budgets by way of the homes of their partitions.
+/// \file A ledger that sends its calls to the coordinators ("homes") of the partitions.
 #pragma once
 
 #include <cstdint>
@@ -24,83 +24,85 @@
 
 namespace gorsetrail::ledger {
 
-/// Sends ledger calls to other nodes.
+/// Transport for ledger calls to other nodes.
 class LedgerPeers {
  public:
   virtual ~LedgerPeers() = default;
-  /// \return the nodes that may be homes now, this one included.
+  /// \return the nodes that may be coordinators now, including this one.
   [[nodiscard]] virtual std::vector<HomeCandidate> candidates() const = 0;
-  /// \return whether it is known who may be a home. Before that nothing is asked: a node that took
-  /// all partitions for its own would read the whole store.
+  /// \return whether the list of nodes is known. Before that no call is made: a node that took
+  /// itself for the coordinator of all partitions would read the whole store.
   [[nodiscard]] virtual bool areKnown() const = 0;
-  /// Asks a node for a sign of life. Calls back once, never from inside the call.
+  /// Probes a node for liveness. Calls back once, never synchronously.
   virtual void checkAlive(const std::string& address, Duration limit,
                           std::function<void(bool alive)> callback) = 0;
-  /// Calls back once, never from inside the call; without a value when no reply came.
+  /// Calls back once, never synchronously; without a value if no reply came.
   virtual void call(const std::string& address, const LedgerRequest& request, Duration timeLimit,
                     std::function<void(std::optional<LedgerReply>)> callback) = 0;
 };
 
-/// Knobs of `RoutedLedger`.
 struct RoutedLedgerKnobs {
-  std::string ownAddress;          ///< Where this node's own ledger calls arrive.
-  std::string zone;                ///< New turns stand here.
-  std::vector<std::string> zones;  ///< All zones: where else a turn may stand.
-  /// Zones of one region are near each other; a zone without an entry is near all others.
+  std::string ownAddress;          ///< This node's address for ledger calls.
+  std::string zone;                ///< Zone in which new turns are stored.
+  std::vector<std::string> zones;  ///< All zones that may hold turns.
+  /// Region of each zone. A zone without an entry counts as being in every region.
   std::map<std::string, std::string, std::less<>> regionOfZone;
   LedgerPartitionsKnobs partitions;
   std::size_t maximumInlineHistoryBytes = std::size_t{32} * 1024;
   Duration findTimeLimit = milliseconds(1500);
-  /// A turn that is not stored for so long is stored in its second partition too.
-  Duration secondChoiceAfter = milliseconds(600);
+  /// A turn that is not stored after this time is also stored in its second partition.
+  Duration secondPartitionDelay = milliseconds(600);
   bool usesSecondPartitions = true;
   Duration settleTimeLimit = milliseconds(1500);
-  Duration accountLifetime = seconds(300);
-  /// When to ask a silent home for a sign of life: learned from replies, within these bounds.
+  Duration accountRetention = seconds(300);
+  /// Delay before a coordinator that has not replied is probed: adapted to measured reply times,
+  /// within these bounds.
   logstore::CallPacerKnobs pace{milliseconds(60), milliseconds(800), 3.0, milliseconds(15),
                                 milliseconds(400)};
-  /// A call that is not answered for so long, and for longer than is usual, says that the store
-  /// does not answer the home.
-  Duration storeTimeLimit = milliseconds(500);
-  /// Between two questions for a sign of life.
-  Duration signOfLifePeriod = milliseconds(150);
-  Duration signOfLifeLimit = milliseconds(100);
-  /// A home's word that it can't decide reservations is believed for so long: it is then asked
-  /// before a turn is dispatched, which costs one round trip.
-  Duration hintLifetime = seconds(2);
-  /// Told when a node begins to count as silent, and when it answers again.
-  std::function<void(const std::string& address, bool silent)> onSilence;
+  /// A call unanswered for this long, and for longer than usual, counts as a store failure of the
+  /// partition.
+  Duration storeFailureDelay = milliseconds(500);
+  /// Minimum interval between liveness probes of a call.
+  Duration livenessProbeInterval = milliseconds(150);
+  Duration livenessProbeTimeout = milliseconds(100);
+  /// How long a coordinator's report that it cannot decide reservations is used. In that time a
+  /// turn is dispatched only after its reservation was granted, which costs one round trip.
+  Duration undecidedReportLifetime = seconds(2);
+  /// Called when a node becomes suspected (`suspected`), and when it replies again.
+  std::function<void(const std::string& address, bool suspected)> onSilence;
 };
 
-/// What became of ledger calls; all only rise.
+/// Monotonic counters of ledger calls.
 struct RoutedLedgerCounters {
   std::uint64_t calls = 0;
-  std::uint64_t passedOn = 0;  ///< To the next home, because one failed or was silent.
-  std::uint64_t failed = 0;    ///< No home and not the store could say anything.
+  std::uint64_t passedOn =
+      0;  ///< Retried at the next coordinator because one failed or did not answer.
+  std::uint64_t failed = 0;  ///< Ended without an answer from a coordinator or the store.
 };
 
-/// How a call ended: the reply that counts, and what each node said.
-struct CallEnd {
+/// The deciding reply of a call, with the responses of all nodes called.
+struct CallResult {
   LedgerReply reply;
-  std::string repliedBy;               ///< The node whose reply it is; empty: nobody's.
-  std::vector<CoordinatorWord> asked;  ///< In the order they were asked.
-  bool homeLives = false;              ///< A home replied, or answered a liveness probe.
+  std::string repliedBy;                 ///< The node that sent the reply; empty if none did.
+  std::vector<CoordinatorReport> asked;  ///< In the order they were called.
+  bool coordinatorAlive = false;         ///< A coordinator replied or answered a liveness probe.
 };
 
-/// Asks the partition's home, then the next one. This node reads the store for itself only when it
-/// reaches no home at all: a home that lives and cannot be answered by the store shows that the
-/// store is out of order, and hundreds of nodes that each read whole partitions then would fill the
-/// store's bandwidth for long after its return. What only appends is tried by this node in any
-/// case. A home that is only slow is waited for as long as it gives signs of life: it waits for the
-/// store or reads the partition. Asking the next one as well would have both of them write, and
-/// each read what the other wrote. Asking several is safe, though: what they write are facts that
-/// may stand twice, and the log's order decides what they answer. A home only makes calls fewer: it
-/// gathers the appends of all nodes, and answers from memory. Partitions of confined turns are read
-/// by nodes of their region alone, so no home elsewhere is asked, and this node reads one only
-/// where it is in that region.
+/// Sends each call to the partition's coordinator, then to the next one if the first fails.
+/// - A coordinator that is slow but answers liveness probes is waited for, because it waits for the
+///   store or reads the partition. Calling the next one as well would make both write, and each
+///   read what the other wrote.
+/// - This node reads the partition itself only if no coordinator is alive. If one is alive and
+///   cannot get an answer, the store is failing, and reads of whole partitions by hundreds of nodes
+///   would saturate the store after it recovers. Calls that only append are tried by this node in
+///   any case.
+/// - Calling several coordinators is safe: they append facts, which may be repeated, and the order
+///   of the log decides. A coordinator only saves store calls by batching appends and caching.
+/// - Partitions of confined turns are read only by nodes of their region, so neither coordinators
+///   elsewhere nor this node, if elsewhere, read them.
 class RoutedLedger final : public Ledger {
  public:
-  /// \param service this node's own ledger; it and all others outlive this object.
+  /// \param service serves this node's own calls. All references must outlive this object.
   RoutedLedger(LedgerService& service, LedgerPeers& peers, services::TimerService& timers,
                logstore::ClockFunction clock, RoutedLedgerKnobs knobs, std::uint64_t seed);
 
@@ -113,65 +115,65 @@
   [[nodiscard]] ReservationOutlook reservationOutlook(const std::string& program) override;
   [[nodiscard]] std::uint64_t knownUse(const std::string& program) const override;
 
-  /// Takes over the zones and regions of settings that were read anew; calls under way go on with
-  /// the places that they were begun with.
+  /// Replaces the zones and regions after the settings were reloaded. Calls in flight keep their
+  /// target partitions.
   void setZones(std::vector<std::string> zones,
                 std::map<std::string, std::string, std::less<>> regionOfZone);
-  /// \return whether the node gave no sign of life when it was asked a moment ago.
+  /// \return whether the node is suspected, because it recently failed to answer.
   [[nodiscard]] bool isSuspect(const std::string& address) const {
-    return homes_.isSuspect(address, clock_());
+    return selector_.isSuspect(address, clock_());
   }
-  /// Keeps the leases of budget partitions whose first home this node is, and gives others back;
-  /// call it about once a second.
+  /// Maintains the leases of the budget partitions whose first coordinator is this node, and
+  /// releases the others. Call it about once a second.
   void tendLeases();
-  /// Gives all leases back, before a planned stop.
+  /// Releases all leases. Call it before a planned stop.
   void giveLeasesBack();
-  /// Forgets programs long gone; call it now and then.
+  /// Removes idle programs. Call it periodically.
   void sweep();
   [[nodiscard]] const RoutedLedgerCounters& counters() const { return counters_; }
 
  private:
-  using CallEndCallback = std::function<void(CallEnd)>;
+  using CallResultCallback = std::function<void(CallResult)>;
   struct Call;
   struct KnownUse {
     std::uint64_t tokens = 0;
     Instant heardAt;
   };
 
-  void start(LedgerRequest request, const logstore::PartitionAddress& partition,
-             const std::string& homeZone, Duration timeLimit, CallEndCallback callback);
-  /// Calls back from the loop that nothing can be said.
-  void fail(LedgerReply reply, CallEndCallback callback);
-  void tryNext(const std::shared_ptr<Call>& call);
+  void startCall(LedgerRequest request, const logstore::PartitionAddress& partition,
+                 const std::string& preferredZone, Duration timeLimit, CallResultCallback callback);
+  /// Calls back asynchronously with a failure.
+  void failAsync(LedgerReply reply, CallResultCallback callback);
+  void callNext(const std::shared_ptr<Call>& call);
   [[nodiscard]] bool hasNext(const Call& call) const;
-  void onReply(const std::shared_ptr<Call>& call, const std::string& home, Instant askedAt,
+  void onReply(const std::shared_ptr<Call>& call, const std::string& coordinator, Instant askedAt,
                std::optional<LedgerReply> reply);
-  static void noteReply(Call& call, const std::string& home, Instant now,
-                        const std::optional<LedgerReply>& reply);
+  static void recordResponse(Call& call, const std::string& coordinator, Instant now,
+                             const std::optional<LedgerReply>& reply);
   void finish(const std::shared_ptr<Call>& call, LedgerReply reply);
-  /// Partitions that are searched at once.
+  /// Partitions that are searched in parallel.
   using Wave = std::vector<TurnPlacement>;
   struct Search;
   [[nodiscard]] std::vector<Wave> wavesFor(const TurnZones& zones) const;
   void searchNext(const std::shared_ptr<Search>& search);
   void onSearched(const std::shared_ptr<Search>& search, const TurnPlacement& placement,
-                  CallEnd end);
-  [[nodiscard]] bool areNear(std::string_view zone, std::string_view other) const;
-  /// \return the partition that new turns with this limit are stored in.
+                  CallResult end);
+  [[nodiscard]] bool inSameRegion(std::string_view zone, std::string_view other) const;
+  /// \return the partition in which new turns restricted to these zones are stored.
   [[nodiscard]] TurnPlacement placementFor(const TurnZones& zones, std::uint32_t choice) const;
   [[nodiscard]] std::vector<HomeCandidate> candidatesFor(const TurnPlacement* placement) const;
   struct Storing;
   void storeIn(std::uint32_t choice, const std::shared_ptr<Storing>& storing);
-  void storeInOther(std::uint32_t choice, const std::shared_ptr<Storing>& storing);
+  void storeInOtherPartition(std::uint32_t choice, const std::shared_ptr<Storing>& storing);
   void onStored(std::uint32_t choice, const std::shared_ptr<Storing>& storing,
                 const LedgerReply& reply);
   void onTurnFound(LedgerReply reply, const TurnZones& zones, HistoryCallback callback);
-  void watchSilence(const std::shared_ptr<Call>& call, Duration patience);
-  void onImpatience(const std::shared_ptr<Call>& call, Duration patience);
-  void onSignOfLife(const std::shared_ptr<Call>& call, Duration patience, bool alive);
-  void suspect(const std::string& home);
-  void noteFailure(const logstore::PartitionAddress& partition);
-  void noteHint(const Call& call, const LedgerReply& reply);
+  void scheduleLivenessProbe(const std::shared_ptr<Call>& call, Duration probeDelay);
+  void onReplyOverdue(const std::shared_ptr<Call>& call, Duration probeDelay);
+  void onLivenessResult(const std::shared_ptr<Call>& call, Duration probeDelay, bool alive);
+  void suspect(const std::string& coordinator);
+  void recordPartitionFailure(const logstore::PartitionAddress& partition);
+  void updateUndecidedReport(const Call& call, const LedgerReply& reply);
   [[nodiscard]] bool answers(const logstore::PartitionAddress& partition) const;
 
   LedgerService& service_;
@@ -180,14 +182,14 @@
   logstore::ClockFunction clock_;
   RoutedLedgerKnobs knobs_;
   LedgerPartitions layout_;
-  HomeSelector homes_;
+  HomeSelector selector_;
   logstore::CallPacer pacer_;
   RoutedLedgerCounters counters_;
   std::unordered_map<std::string, KnownUse> knownUse_;
-  /// Only partitions whose last call failed.
-  std::map<logstore::PartitionAddress, engine::CircuitBreaker> failing_;
-  /// When a home last said that it could not decide reservations of the partition.
-  std::map<logstore::PartitionAddress, Instant> undecidedAt_;
+  /// Circuit breakers of the partitions whose last call failed.
+  std::map<logstore::PartitionAddress, engine::CircuitBreaker> breakers_;
+  /// When a coordinator last reported that it cannot decide reservations of the partition.
+  std::map<logstore::PartitionAddress, Instant> undecidedReportedAt_;
 };
 
 }  // namespace gorsetrail::ledger
--- a/src/ledger/routed_ledger_history.cpp
+++ b/src/ledger/routed_ledger_history.cpp
@@ -1,4 +1,4 @@
-// Searching turns in the partitions that they may stand in.
+// Lookup of turns in the partitions that may hold them.
 #include <algorithm>
 #include <utility>
 
@@ -6,26 +6,26 @@
 
 namespace gorsetrail::ledger {
 
-/// One turn that is being looked for.
+/// A turn lookup in progress.
 struct RoutedLedger::Search {
   TurnName turn;
   HistoryCallback callback;
-  std::vector<Wave> waves;  ///< Searched one after the other.
-  std::size_t next = 0;     ///< Of the waves.
-  std::size_t open = 0;     ///< Partitions of the wave that have not been heard of.
+  std::vector<Wave> waves;  ///< Searched in order.
+  std::size_t next = 0;     ///< Index into `waves`.
+  std::size_t pending = 0;  ///< Partitions of the current wave that have not answered.
   bool found = false;
   std::vector<UnreadPartition> unread;
 };
 
-// Turns mostly stand where new ones would be stored; the other zones of the region are near, and
-// those of other regions cost one round trip together instead of one for each partition. Turns
-// stored under another limit than now come last: limits change seldom.
+// The search order is: the partitions for new turns, the other zones of the region, then all other
+// regions in parallel for one round trip. Turns stored under a different zone restriction come
+// last, because restrictions seldom change.
 std::vector<RoutedLedger::Wave> RoutedLedger::wavesFor(const TurnZones& zones) const {
   const TurnPlacement own = placementFor(zones, 0);
   std::vector<Wave> waves = {{own}, {placementFor(zones, 1)}};
-  Wave near;
-  Wave far;
-  Wave otherLimit;
+  Wave sameRegion;
+  Wave otherRegions;
+  Wave otherConfinement;
   const auto add = [](Wave& wave, const std::string& zone, bool confined) {
     for (std::uint32_t choice = 0; choice < kTurnChoices; ++choice) {
       wave.push_back({zone, choice, confined});
@@ -33,20 +33,20 @@
   };
   bool severalRegions = false;
   for (const std::string& zone : knobs_.zones) {
-    const bool isNear = areNear(own.zone, zone);
+    const bool isSameRegion = inSameRegion(own.zone, zone);
     const bool isAllowed =
         !own.confined || std::find(zones.begin(), zones.end(), zone) != zones.end();
-    severalRegions = severalRegions || !isNear;
+    severalRegions = severalRegions || !isSameRegion;
     if (zone != own.zone) {
-      Wave& wave = isAllowed ? (isNear ? near : far) : otherLimit;
+      Wave& wave = isAllowed ? (isSameRegion ? sameRegion : otherRegions) : otherConfinement;
       add(wave, zone, own.confined);
     }
-    add(otherLimit, zone, !own.confined);
+    add(otherConfinement, zone, !own.confined);
   }
-  waves.push_back(std::move(near));
-  waves.push_back(std::move(far));
+  waves.push_back(std::move(sameRegion));
+  waves.push_back(std::move(otherRegions));
   if (own.confined || severalRegions) {
-    waves.push_back(std::move(otherLimit));
+    waves.push_back(std::move(otherConfinement));
   }
   std::erase_if(waves, [](const Wave& wave) { return wave.empty(); });
   return waves;
@@ -60,7 +60,7 @@
   searchNext(search);
 }
 
-// Only when every partition that the turn may stand in was read to its end, it is unknown.
+// A turn is reported as unknown only after all partitions that may hold it were read to their end.
 void RoutedLedger::searchNext(const std::shared_ptr<Search>& search) {
   if (search->next == search->waves.size()) {
     if (search->unread.empty()) {
@@ -73,21 +73,21 @@
   }
   const Wave& wave = search->waves[search->next];
   ++search->next;
-  search->open = wave.size();
+  search->pending = wave.size();
   for (const TurnPlacement& placement : wave) {
     if (search->found) {
       return;
     }
     const std::string& turn = search->turn.request;
-    start(FindTurnRequest{placement, turn}, layout_.ofTurn(placement, turn), placement.zone,
-          knobs_.findTimeLimit, [this, search, placement](CallEnd end) {
-            onSearched(search, placement, std::move(end));
-          });
+    startCall(FindTurnRequest{placement, turn}, layout_.ofTurn(placement, turn), placement.zone,
+              knobs_.findTimeLimit, [this, search, placement](CallResult end) {
+                onSearched(search, placement, std::move(end));
+              });
   }
 }
 
 void RoutedLedger::onSearched(const std::shared_ptr<Search>& search, const TurnPlacement& placement,
-                              CallEnd end) {
+                              CallResult end) {
   if (search->found) {
     return;
   }
@@ -100,10 +100,10 @@
     const std::string& reason = end.reply.reason;
     search->unread.push_back({logstore::textOf(layout_.ofTurn(placement, search->turn.request)),
                               placement.choice, reason.empty() ? "no answer" : reason,
-                              std::move(end.asked), end.homeLives});
+                              std::move(end.asked), end.coordinatorAlive});
   }
-  --search->open;
-  if (search->open == 0) {
+  --search->pending;
+  if (search->pending == 0) {
     searchNext(search);
   }
 }
@@ -118,7 +118,7 @@
   findHistory({base, zones}, [base, piece = std::move(reply.history),
                               callback = std::move(callback)](HistoryAnswer answer) {
     if (auto* const history = std::get_if<History>(&answer)) {
-      *history = appendPiece(std::move(*history), base, piece);
+      *history = extendHistory(std::move(*history), base, piece);
     }
     callback(std::move(answer));
   });
--- a/src/ledger/turn_cache.cpp
+++ b/src/ledger/turn_cache.cpp
@@ -5,7 +5,7 @@
 namespace gorsetrail::ledger {
 namespace {
 
-/// Estimated memory of an entry beside its texts.
+/// Estimated memory of an entry without its strings.
 constexpr std::size_t kEntryOverheadBytes = 256;
 
 }  // namespace
@@ -14,26 +14,26 @@
   return kEntryOverheadBytes + 2 * turn.request.size() + turn.base.size() + turn.history.size();
 }
 
-bool TurnCache::putIfRoom(CompletedTurn turn, TurnPlace place) {
+bool TurnCache::insertIfRoom(CompletedTurn turn, TurnPosition position) {
   if (byRequest_.count(turn.request) > 0) {
     return true;
   }
   if (bytes_ + sizeOf(turn) > maximumBytes_) {
     return false;
   }
-  put(std::move(turn), place);
+  insert(std::move(turn), position);
   return true;
 }
 
-void TurnCache::put(CompletedTurn turn, TurnPlace place) {
+void TurnCache::insert(CompletedTurn turn, TurnPosition position) {
   if (find(turn.request) != nullptr) {
     return;
   }
-  byUse_.push_front({std::move(turn), place});
-  byRequest_.emplace(byUse_.front().turn.request, byUse_.begin());
-  bytes_ += sizeOf(byUse_.front().turn);
-  while (bytes_ > maximumBytes_ && byUse_.size() > 1) {
-    dropOldest();
+  byRecency_.push_front({std::move(turn), position});
+  byRequest_.emplace(byRecency_.front().turn.request, byRecency_.begin());
+  bytes_ += sizeOf(byRecency_.front().turn);
+  while (bytes_ > maximumBytes_ && byRecency_.size() > 1) {
+    evictLeastRecent();
   }
 }
 
@@ -42,17 +42,17 @@
   if (found == byRequest_.end()) {
     return nullptr;
   }
-  byUse_.splice(byUse_.begin(), byUse_, found->second);
+  byRecency_.splice(byRecency_.begin(), byRecency_, found->second);
   return &found->second->turn;
 }
 
-void TurnCache::dropOldest() {
-  const Entry& oldest = byUse_.back();
+void TurnCache::evictLeastRecent() {
+  const Entry& oldest = byRecency_.back();
   bytes_ -= sizeOf(oldest.turn);
-  const TurnPlace place = oldest.place;
+  const TurnPosition position = oldest.position;
   byRequest_.erase(oldest.turn.request);
-  byUse_.pop_back();
-  onDropped_(place);
+  byRecency_.pop_back();
+  onEvicted_(position);
 }
 
 }  // namespace gorsetrail::ledger
--- a/src/ledger/turn_cache.h
+++ b/src/ledger/turn_cache.h
@@ -1,4 +1,4 @@
-/// \file Turns in this node's memory: a bounded cache of what stands in the log.
+/// \file A bounded in-memory LRU cache of turns that are stored in the log.
 #pragma once
 
 #include <cstdint>
@@ -13,39 +13,40 @@
 
 class PartitionReader;
 
-/// Where a cached turn stands, so that a dropped one can be read again.
-struct TurnPlace {
-  PartitionReader* reader = nullptr;  ///< Of the turn's partition; outlives the cache.
+/// The position of a cached turn in the log, so that an evicted turn can be read again.
+struct TurnPosition {
+  PartitionReader* reader = nullptr;  ///< Reader of the turn's partition; must outlive the cache.
   std::uint64_t offset = 0;
 };
 
-/// Drops the turns used longest ago when it grows over its size.
+/// Evicts the least recently used turns when the cache exceeds its size.
 class TurnCache {
  public:
-  using DropObserver = std::function<void(const TurnPlace&)>;
+  using EvictionObserver = std::function<void(const TurnPosition&)>;
 
-  TurnCache(std::size_t maximumBytes, DropObserver onDropped)
-      : maximumBytes_(maximumBytes), onDropped_(std::move(onDropped)) {}
+  TurnCache(std::size_t maximumBytes, EvictionObserver onEvicted)
+      : maximumBytes_(maximumBytes), onEvicted_(std::move(onEvicted)) {}
 
-  /// Keeps a turn, at the cost of those used longest ago.
-  void put(CompletedTurn turn, TurnPlace place);
-  /// Keeps a turn if there is room. \return whether it is in memory now.
-  bool putIfRoom(CompletedTurn turn, TurnPlace place);
-  /// \return the turn, or null; valid until the next `put`.
+  /// Adds a turn, evicting others if necessary. The newest turn is kept even if it alone exceeds
+  /// the size.
+  void insert(CompletedTurn turn, TurnPosition position);
+  /// Adds a turn only if it fits. \return whether the turn is cached now.
+  bool insertIfRoom(CompletedTurn turn, TurnPosition position);
+  /// \return the turn, or null; valid until the next `insert`.
   const CompletedTurn* find(const std::string& request);
   [[nodiscard]] std::size_t bytes() const { return bytes_; }
 
  private:
   struct Entry {
     CompletedTurn turn;
-    TurnPlace place;
+    TurnPosition position;
   };
   static std::size_t sizeOf(const CompletedTurn& turn);
-  void dropOldest();
+  void evictLeastRecent();
 
   std::size_t maximumBytes_;
-  DropObserver onDropped_;
-  std::list<Entry> byUse_;  ///< Newest use first.
+  EvictionObserver onEvicted_;
+  std::list<Entry> byRecency_;  ///< Most recently used first.
   std::unordered_map<std::string, std::list<Entry>::iterator> byRequest_;
   std::size_t bytes_ = 0;
 };
--- a/tests/ledger/budget_fleet.h
+++ b/tests/ledger/budget_fleet.h
@@ -97,7 +97,7 @@
   /// Lets the home tend its lease once a second.
   void tend(Home& home, Duration span) {
     for (Duration passed{}; passed < span; passed += seconds(1)) {
-      home.partition.keepLease();
+      home.partition.maintainLease();
       timers.advance(seconds(1));
     }
   }
--- a/tests/ledger/budget_lease_table_test.cpp
+++ b/tests/ledger/budget_lease_table_test.cpp
@@ -24,15 +24,15 @@
   std::uint64_t end = 0;  ///< Of the log.
 
   /// The log's next record.
-  void tell(const BudgetLease& record, Instant now) { table.onRecord(record, end++, now); }
-  UnseenSpending unseen(bool isTimely, Instant now = kStart, const char* own = "") {
-    return table.unseenSpending(own, isTimely, kEverythingRead, now);
+  void tell(const BudgetLease& record, Instant now) { table.applyRecord(record, end++, now); }
+  UnseenSpending unseen(bool hasTimeLeft, Instant now = kStart, const char* own = "") {
+    return table.unseenSpending(own, hasTimeLeft, kMaxOffset, now);
   }
-  UnseenSpending unseenBelow(std::uint64_t offset, bool isTimely = true) {
-    return table.unseenSpending("", isTimely, offset, kStart);
+  UnseenSpending unseenBelow(std::uint64_t offset, bool hasTimeLeft = true) {
+    return table.unseenSpending("", hasTimeLeft, offset, kStart);
   }
-  bool counts(bool isTimely, Instant now = kStart, const char* own = "") {
-    return unseen(isTimely, now, own) != UnseenSpending::None;
+  bool counts(bool hasTimeLeft, Instant now = kStart, const char* own = "") {
+    return unseen(hasTimeLeft, now, own) != UnseenSpending::None;
   }
   /// "x" has ended in the primary slot, and "y" is held in the secondary one.
   void holdSecondary() {
@@ -66,7 +66,7 @@
   endAndClear("x");
   CHECK_FALSE(counts(true));
   CHECK_TRUE(counts(false));
-  CHECK_FALSE(counts(false, kStart + knobs.memory));
+  CHECK_FALSE(counts(false, kStart + knobs.retention));
 }
 
 TEST(BudgetLeaseTable, whileALeaseIsHeldTheRecordOfAnotherIsVoid) {
@@ -104,15 +104,15 @@
   holdSecondary();
   tell(record("y", BudgetLeaseState::Held, 2), kStart);
   CHECK(table.slotOf("y") == BudgetLeaseSlot::Secondary);
-  CHECK_FALSE(table.canMoveUp("y"));
+  CHECK_FALSE(table.canPromote("y"));
   tell(record("x", BudgetLeaseState::Cleared), kStart);
   CHECK(table.slotOf("y") == BudgetLeaseSlot::Secondary);
-  CHECK_TRUE(table.canMoveUp("y"));
+  CHECK_TRUE(table.canPromote("y"));
   tell(record("y", BudgetLeaseState::Held, 2), kStart);  // An old one that stands twice.
   CHECK(table.slotOf("y") == BudgetLeaseSlot::Secondary);
   tell(record("y", BudgetLeaseState::Held, 3), kStart);
   CHECK(table.slotOf("y") == BudgetLeaseSlot::Primary);
-  CHECK_FALSE(table.canMoveUp("y"));
+  CHECK_FALSE(table.canPromote("y"));
 }
 
 TEST(BudgetLeaseTable, whenAnotherTookThePrimarySlotFirstTheSecondaryLeaseStays) {
@@ -149,7 +149,7 @@
   endAndClear("y", kStart + seconds(1));
   CHECK(unseen(true) == UnseenSpending::None);
   CHECK(unseen(false, kStart + seconds(1), "z") == UnseenSpending::Both);
-  CHECK(unseen(false, kStart + seconds(1) + knobs.memory, "z") == UnseenSpending::None);
+  CHECK(unseen(false, kStart + seconds(1) + knobs.retention, "z") == UnseenSpending::None);
 }
 
 TEST(BudgetLeaseTable, lateProgramsCountLeasesThatCameAfterOneAnotherOnce) {
@@ -214,19 +214,19 @@
 
 TEST(BudgetLeaseTable, aLeaseIsDueToEndWhenItsHolderStartedAnewOrWasNotHeardForLong) {
   tell(record("x", BudgetLeaseState::Held, 3), kStart);
-  CHECK_FALSE(table.due("own", "other", kStart + knobs.expiry - seconds(1)).has_value());
-  CHECK_FALSE(table.due("x", "home", kStart + knobs.expiry).has_value());
-  const auto restarted = table.due("own", "home", kStart);
+  CHECK_FALSE(table.nextTransition("own", "other", kStart + knobs.expiry - seconds(1)).has_value());
+  CHECK_FALSE(table.nextTransition("x", "home", kStart + knobs.expiry).has_value());
+  const auto restarted = table.nextTransition("own", "home", kStart);
   CHECK_TRUE(restarted.has_value());
   CHECK(restarted->state == BudgetLeaseState::Ended);
   LONGS_EQUAL(3, restarted->renewal);
-  CHECK_TRUE(table.due("own", "other", kStart + knobs.expiry).has_value());
+  CHECK_TRUE(table.nextTransition("own", "other", kStart + knobs.expiry).has_value());
 }
 
 TEST(BudgetLeaseTable, renewalsPutTheExpiryOff) {
   tell(record("x", BudgetLeaseState::Held, 1), kStart);
   tell(record("x", BudgetLeaseState::Held, 2), kStart + seconds(20));
-  CHECK_FALSE(table.due("own", "other", kStart + knobs.expiry).has_value());
+  CHECK_FALSE(table.nextTransition("own", "other", kStart + knobs.expiry).has_value());
 }
 
 TEST(BudgetLeaseTable, aHolderStopsBeforeOthersTakeItsLeaseForExpired) {
@@ -236,28 +236,28 @@
 TEST(BudgetLeaseTable, anEndedLeaseIsDueToBeClearedWhenItsProgramsShouldBeOver) {
   tell(record("x", BudgetLeaseState::Held), kStart);
   tell(record("x", BudgetLeaseState::Ended), kStart);
-  const Duration span = knobs.longestProgramTime + knobs.longestCall;
-  CHECK_FALSE(table.due("own", "other", kStart + span - seconds(1)).has_value());
-  CHECK(table.due("own", "other", kStart + span)->state == BudgetLeaseState::Cleared);
+  const Duration span = knobs.maxRemainingProgramTime + knobs.maxDecisionDelay;
+  CHECK_FALSE(table.nextTransition("own", "other", kStart + span - seconds(1)).has_value());
+  CHECK(table.nextTransition("own", "other", kStart + span)->state == BudgetLeaseState::Cleared);
 }
 
 TEST(BudgetLeaseTable, eachOfTwoDeadLeasesIsDueToEnd) {
   holdSecondary();
-  const auto end = table.due("own", "home", kStart);
+  const auto end = table.nextTransition("own", "home", kStart);
   STRCMP_EQUAL("y", end->lease.c_str());
   CHECK(end->state == BudgetLeaseState::Ended);
   tell(*end, kStart);
   CHECK(table.stateOf("x") == BudgetLeaseState::Ended);
   CHECK(table.stateOf("y") == BudgetLeaseState::Ended);
-  const Instant past = kStart + knobs.longestProgramTime + knobs.longestCall;
-  CHECK_FALSE(table.due("own", "home", past - seconds(1)).has_value());
+  const Instant past = kStart + knobs.maxRemainingProgramTime + knobs.maxDecisionDelay;
+  CHECK_FALSE(table.nextTransition("own", "home", past - seconds(1)).has_value());
   for (const char* const lease : {"x", "y"}) {
-    const auto clearing = table.due("own", "home", past);
+    const auto clearing = table.nextTransition("own", "home", past);
     STRCMP_EQUAL(lease, clearing->lease.c_str());
     CHECK(clearing->state == BudgetLeaseState::Cleared);
     tell(*clearing, past);
   }
-  CHECK_FALSE(table.due("own", "home", past).has_value());
+  CHECK_FALSE(table.nextTransition("own", "home", past).has_value());
 }
 
 TEST(BudgetLeaseTable, aLeaseWhoseOnlyRecordLeftIsItsEndMayHaveSpentAll) {
@@ -269,9 +269,9 @@
 TEST(BudgetLeaseTable, forgetsOnlyWhatWasClearedLongAgo) {
   tell(record("cleared", BudgetLeaseState::Cleared), kStart);
   tell(record("held", BudgetLeaseState::Held), kStart);
-  table.forgetOld(kStart + knobs.memory - seconds(1));
+  table.evictCleared(kStart + knobs.retention - seconds(1));
   LONGS_EQUAL(2, table.size());
-  table.forgetOld(kStart + knobs.memory);
+  table.evictCleared(kStart + knobs.retention);
   LONGS_EQUAL(1, table.size());
 }
 
@@ -316,14 +316,14 @@
 
 TEST(LeaseAllowance, othersCountTheMostThatItAllows) {
   const LeaseAllowance allowance(knobs, 1000);
-  LONGS_EQUAL(0, allowance.mostSpent(UnseenSpending::None, 900));
-  LONGS_EQUAL(450, allowance.mostSpent(UnseenSpending::Primary, 300));
-  LONGS_EQUAL(600, allowance.mostSpent(UnseenSpending::Primary, 600));
-  LONGS_EQUAL(700, allowance.mostSpent(UnseenSpending::Primary, 900));
-  LONGS_EQUAL(150, allowance.mostSpent(UnseenSpending::Secondary, 100));
-  LONGS_EQUAL(150, allowance.mostSpent(UnseenSpending::Secondary, 900));
-  LONGS_EQUAL(600, allowance.mostSpent(UnseenSpending::Both, 300));
-  LONGS_EQUAL(850, allowance.mostSpent(UnseenSpending::Both, 900));
+  LONGS_EQUAL(0, allowance.maxSpent(UnseenSpending::None, 900));
+  LONGS_EQUAL(450, allowance.maxSpent(UnseenSpending::Primary, 300));
+  LONGS_EQUAL(600, allowance.maxSpent(UnseenSpending::Primary, 600));
+  LONGS_EQUAL(700, allowance.maxSpent(UnseenSpending::Primary, 900));
+  LONGS_EQUAL(150, allowance.maxSpent(UnseenSpending::Secondary, 100));
+  LONGS_EQUAL(150, allowance.maxSpent(UnseenSpending::Secondary, 900));
+  LONGS_EQUAL(600, allowance.maxSpent(UnseenSpending::Both, 300));
+  LONGS_EQUAL(850, allowance.maxSpent(UnseenSpending::Both, 900));
 }
 
 // Whoever counts both leases keeps within the budget and one turn, whichever larger turn was spent
--- a/tests/ledger/budget_partition_test.cpp
+++ b/tests/ledger/budget_partition_test.cpp
@@ -52,12 +52,12 @@
                            granted = reply.outcome == ReservationOutcome::Granted;
                          });
   CHECK_TRUE(granted);
-  LONGS_EQUAL(1, home.partition.unrecorded());
+  LONGS_EQUAL(1, home.partition.unrecordedGrants());
   home.partition.settle({"r1", "program", 90});
   fleet.timers.advance(seconds(1));
-  LONGS_EQUAL(0, home.partition.unrecorded());
+  LONGS_EQUAL(0, home.partition.unrecordedGrants());
   LONGS_EQUAL(appends + 1, fleet.log.appends);  // Reservation and settlement share one.
-  LONGS_EQUAL(90, home.partition.usedBy("program"));
+  LONGS_EQUAL(90, home.partition.tokensUsedBy("program"));
 }
 
 TEST(BudgetPartition, withoutALeaseOnlyTheLogDecides) {
@@ -85,11 +85,11 @@
   CHECK(spend(home, "r2", 200) == ReservationOutcome::Granted);
   home.partition.settle({"r2", "program", 80});
   CHECK(spend(home, "r3", 200) == ReservationOutcome::Granted);
-  LONGS_EQUAL(3, home.partition.unrecorded());
+  LONGS_EQUAL(3, home.partition.unrecordedGrants());
   fleet.log.fault = FakeFault::None;
   fleet.timers.advance(seconds(4));
-  LONGS_EQUAL(0, home.partition.unrecorded());
-  LONGS_EQUAL(360, home.partition.usedBy("program"));
+  LONGS_EQUAL(0, home.partition.unrecordedGrants());
+  LONGS_EQUAL(360, home.partition.tokensUsedBy("program"));
 }
 
 TEST(BudgetPartition, whatWasSpentAheadIsReadByTheNextHome) {
@@ -99,11 +99,11 @@
   home.partition.settle({"r1", "program", 80});
   fleet.log.fault = FakeFault::None;
   fleet.timers.advance(seconds(4));
-  home.partition.giveLeaseBack();
+  home.partition.releaseLease();
   fleet.timers.advance(seconds(1));
   Home& next = fleet.start("b");
   CHECK(spend(next, "r2", 100) == ReservationOutcome::Granted);
-  LONGS_EQUAL(180, next.partition.usedBy("program"));
+  LONGS_EQUAL(180, next.partition.tokensUsedBy("program"));
 }
 
 TEST(BudgetPartition, aProgramThatLoopsInAnOutageGetsNoMoreThanTheLeasesShare) {
@@ -228,21 +228,21 @@
   fleet.timers.advance(seconds(2));
   fleet.tend(first, seconds(3));
   CHECK_FALSE(first.partition.holdsLease());
-  second.partition.giveLeaseBack();
+  second.partition.releaseLease();
   fleet.timers.advance(seconds(1));
   fleet.tend(first, seconds(4));
-  CHECK(first.partition.leaseSlot() == BudgetLeaseSlot::Primary);
+  CHECK(first.partition.heldLeaseSlot() == BudgetLeaseSlot::Primary);
 }
 
 TEST(BudgetPartition, ofThreeHomesThatTakeALeaseAtOnceOneHoldsIt) {
   std::vector<Home*> homes{&fleet.start("a"), &fleet.start("b"), &fleet.start("c")};
   for (Home* const home : homes) {
-    home->partition.keepLease();
+    home->partition.maintainLease();
   }
   fleet.timers.advance(seconds(1));
   const auto holdersOf = [&](std::optional<BudgetLeaseSlot> slot) {
     return std::count_if(homes.begin(), homes.end(),
-                         [&](const Home* home) { return home->partition.leaseSlot() == slot; });
+                         [&](const Home* home) { return home->partition.heldLeaseSlot() == slot; });
   };
   LONGS_EQUAL(1, holdersOf(BudgetLeaseSlot::Primary));
   LONGS_EQUAL(2, holdersOf(std::nullopt));
@@ -252,7 +252,7 @@
   fleet.startWithLease("a");
   Home& again = fleet.start("a");
   fleet.tend(again, seconds(1));
-  CHECK(again.partition.leaseSlot() == BudgetLeaseSlot::Secondary);
+  CHECK(again.partition.heldLeaseSlot() == BudgetLeaseSlot::Secondary);
   fleet.log.fault = FakeFault::Silent;
   CHECK(spend(again, "r1", 100) == ReservationOutcome::Granted);
   LONGS_EQUAL(1, again.partition.counters().grantedAheadSecondary);
@@ -271,7 +271,7 @@
   fleet.tend(next, BudgetLeaseKnobs{}.expiry - seconds(2));
   CHECK_FALSE(next.partition.holdsLease());
   fleet.tend(next, seconds(4));
-  CHECK(next.partition.leaseSlot() == BudgetLeaseSlot::Secondary);
+  CHECK(next.partition.heldLeaseSlot() == BudgetLeaseSlot::Secondary);
 }
 
 TEST(BudgetPartition, aSecondaryLeaseMovesUpWithoutAGapWhenTheDeadOneIsCleared) {
@@ -282,7 +282,7 @@
     fleet.tend(again, seconds(1));
     CHECK_TRUE(again.partition.holdsLease());
   }
-  CHECK(again.partition.leaseSlot() == BudgetLeaseSlot::Primary);
+  CHECK(again.partition.heldLeaseSlot() == BudgetLeaseSlot::Primary);
   fleet.log.fault = FakeFault::Silent;
   CHECK(spend(again, "r1", 600, 1000, "new") == ReservationOutcome::Granted);
 }
@@ -293,11 +293,11 @@
   fleet.tend(again, seconds(2));
   // Each 50 ms another program spends: the newest one's grant is not recorded when the lease moves.
   std::string program;
-  for (int number = 0; again.partition.leaseSlot() != BudgetLeaseSlot::Primary; ++number) {
+  for (int number = 0; again.partition.heldLeaseSlot() != BudgetLeaseSlot::Primary; ++number) {
     CHECK(number < 1000);
     program = "p" + std::to_string(number);
     fleet.spend(again, "r" + program, program, 150, 1000, kTimeLeft, Duration::zero());
-    again.partition.keepLease();
+    again.partition.maintainLease();
     fleet.timers.advance(milliseconds(50));
   }
   LONGS_EQUAL(150, fleet.handedOut[program]);
@@ -347,7 +347,7 @@
   LONGS_EQUAL(600, fleet.handedOut["program"]);
   Home& third = fleet.start("a");
   fleet.tend(third, kUntilCleared + kUntilCleared);
-  CHECK(third.partition.leaseSlot() == BudgetLeaseSlot::Primary);
+  CHECK(third.partition.heldLeaseSlot() == BudgetLeaseSlot::Primary);
   for (int number = 0; number < 30; ++number) {
     fleet.spend(third, "s" + std::to_string(number), "program", 50, 1000, Duration::zero());
   }
@@ -361,7 +361,7 @@
   fleet.startWithLease("a");
   Home& again = fleet.start("a");
   fleet.tend(again, seconds(2));
-  CHECK(again.partition.leaseSlot() == BudgetLeaseSlot::Secondary);
+  CHECK(again.partition.heldLeaseSlot() == BudgetLeaseSlot::Secondary);
   spend(again, "r0", 400);
   fleet.timers.advance(seconds(1));
   // The dead one's lease is cleared, and another home's record enters the slot first.
@@ -375,9 +375,9 @@
   }
   log.push_back(encodeFact(BudgetLease{first, "a", BudgetLeaseState::Cleared, 9}));
   Home& other = fleet.startWithLease("c");
-  CHECK(other.partition.leaseSlot() == BudgetLeaseSlot::Primary);
+  CHECK(other.partition.heldLeaseSlot() == BudgetLeaseSlot::Primary);
   fleet.tend(again, seconds(8));
-  CHECK(again.partition.leaseSlot() == BudgetLeaseSlot::Secondary);
+  CHECK(again.partition.heldLeaseSlot() == BudgetLeaseSlot::Secondary);
   fleet.tend(other, seconds(2));
   again.way.cut = true;
   other.way.cut = true;
@@ -394,7 +394,7 @@
   Home& first = fleet.startWithLease("a");
   spend(first, "r1", 300);
   fleet.timers.advance(seconds(1));
-  first.partition.giveLeaseBack();
+  first.partition.releaseLease();
   fleet.timers.advance(seconds(1));
   CHECK_FALSE(first.partition.holdsLease());
   Home& second = fleet.startWithLease("b");
@@ -406,7 +406,7 @@
   Home& home = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Busy;
   spend(home, "r1", 300);
-  home.partition.giveLeaseBack();
+  home.partition.releaseLease();
   CHECK_FALSE(home.partition.holdsLease());
   fleet.timers.advance(seconds(1));
   home.way.cut = true;
@@ -417,10 +417,10 @@
   CHECK(spend(next, "r3", 100) == ReservationOutcome::Unavailable);
   home.way.cut = false;
   for (int tick = 0; tick < 20; ++tick) {
-    home.partition.giveLeaseBack();
+    home.partition.releaseLease();
     fleet.timers.advance(milliseconds(200));
   }
-  LONGS_EQUAL(0, home.partition.unrecorded());
+  LONGS_EQUAL(0, home.partition.unrecordedGrants());
   CHECK(fleet.spend(next, "r4", "new", 600, 1000, kTimeLeft) == ReservationOutcome::Granted);
   CHECK(fleet.spend(next, "r5", "new", 400, 1000, kTimeLeft) == ReservationOutcome::Granted);
 }
@@ -447,9 +447,9 @@
   fleet.timers.advance(milliseconds(30));
   LONGS_EQUAL(end + 10, log.size());
   LONGS_EQUAL(0, replies);
-  first.partition.giveLeaseBack();
+  first.partition.releaseLease();
   fleet.timers.advance(seconds(3));
-  LONGS_EQUAL(0, first.partition.unrecorded());
+  LONGS_EQUAL(0, first.partition.unrecordedGrants());
   LONGS_EQUAL(10, replies);
   CHECK(fleet.handedOut["program"] <= 1100);
   CHECK(fleet.handedOut["program"] >= 900);
@@ -470,7 +470,7 @@
   int replies = 0;
   askForTenTurns(slow, 2 * kUntilCleared, replies);
   fleet.tend(again, kUntilCleared);
-  again.partition.giveLeaseBack();
+  again.partition.releaseLease();
   fleet.timers.advance(seconds(1));
   LONGS_EQUAL(0, replies);
   slow.way.cut = false;
--- a/tests/ledger/budget_random_test.cpp
+++ b/tests/ledger/budget_random_test.cpp
@@ -95,9 +95,9 @@
   void tend() {
     Home& home = anyHome();
     if (draw(10) == 0) {
-      home.partition.giveLeaseBack();
+      home.partition.releaseLease();
     } else {
-      home.partition.keepLease();
+      home.partition.maintainLease();
     }
     fleet_.timers.advance(milliseconds(static_cast<Duration::rep>(200 + draw(900))));
   }
@@ -172,9 +172,10 @@
 
 // Each of these must show, or the test above could not fail.
 TEST(BudgetRandom, findsAHomeThatClearsLeasesAtOnceInAFleetThatThenForgetsThem) {
-  knobs.leases.memory = Duration::zero();
+  knobs.leases.retention = Duration::zero();
   BudgetPartitionKnobs hasty = knobs;
-  hasty.leases.longestCall = -knobs.leases.longestProgramTime;  // It decides nothing by the log.
+  hasty.leases.maxDecisionDelay =
+      -knobs.leases.maxRemainingProgramTime;  // It decides nothing by the log.
   CHECK(firstBrokenSeed(knobs, hasty) != 0);
 }
 
--- a/tests/ledger/home_selector_test.cpp
+++ b/tests/ledger/home_selector_test.cpp
@@ -63,7 +63,7 @@
   now += milliseconds(1600);
   STRCMP_EQUAL(home.c_str(), homeOf(7).c_str());
   selector.suspect(home, now);
-  selector.clear(home);
+  selector.clearSuspicion(home);
   STRCMP_EQUAL(home.c_str(), homeOf(7).c_str());
 }
 
--- a/tests/ledger/ledger_message_test.cpp
+++ b/tests/ledger/ledger_message_test.cpp
@@ -49,9 +49,9 @@
   STRCMP_EQUAL("history", valueOf(read).history.c_str());
   LONGS_EQUAL(42, valueOf(read).tokensUsed);
   STRCMP_EQUAL("why", valueOf(read).reason.c_str());
-  CHECK_TRUE(valueOf(read).decidesReservations);
-  reply.decidesReservations = false;
-  CHECK_FALSE(valueOf(decodeLedgerReply(encodeLedgerReply(reply))).decidesReservations);
+  CHECK_TRUE(valueOf(read).canDecideReservations);
+  reply.canDecideReservations = false;
+  CHECK_FALSE(valueOf(decodeLedgerReply(encodeLedgerReply(reply))).canDecideReservations);
 }
 
 TEST(LedgerMessage, whyAReservationIsNotDecidedComesBackAsItWas) {
