--- a/tests/ledger/refused_reservation_test.cpp
+++ b/tests/ledger/refused_reservation_test.cpp
@@ -81,7 +81,7 @@
   std::optional<ReservationReply> reply;
   home.partition.reserve({{"r1", "program", 100}, 1000, kTimeLeft}, seconds(30),
                          [&reply](const ReservationReply& made) { reply = made; });
-  budgets.timers.advance(BudgetLeaseKnobs{}.longestCall + seconds(1));
+  budgets.timers.advance(BudgetLeaseKnobs{}.maxDecisionDelay + seconds(1));
   home.way.cut = false;
   budgets.timers.advance(seconds(20));
   CHECK_TRUE(reply.has_value());
