--- a/src/ledger/facts.cpp
+++ b/src/ledger/facts.cpp
@@ -40,8 +40,8 @@
 fbs::Fact typeOf(const BudgetLease& /*fact*/) { return fbs::Fact::BudgetLease; }
 
 Error invalidRecord() {
-  return {ErrorKind::InvalidFrame, "ledger record", "the bytes are no ledger record",
-          "skip it; look for another writer of this topic"};
+  return {ErrorKind::InvalidFrame, "ledger record", "the bytes are not a valid ledger record",
+          "skip the record; check whether another program writes to this topic"};
 }
 
 }  // namespace
--- a/src/ledger/home_selector.cpp
+++ b/src/ledger/home_selector.cpp
@@ -50,17 +50,17 @@
           {isSuspect(candidate.address, now), scoreOf(key, candidate), &candidate.address});
     }
   }
-  const std::size_t count = std::min(knobs_.coordinatorsPerPartition, ranked.size());
+  const std::size_t count = std::min(knobs_.nodesPerPartition, ranked.size());
   std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(count),
                     ranked.end(), [](const Ranked& left, const Ranked& right) {
                       return left.suspect != right.suspect ? right.suspect
                                                            : left.score > right.score;
                     });
-  std::vector<std::string> coordinators;
+  std::vector<std::string> selected;
   for (std::size_t index = 0; index < count; ++index) {
-    coordinators.push_back(*ranked[index].address);
+    selected.push_back(*ranked[index].address);
   }
-  return coordinators;
+  return selected;
 }
 
 }  // namespace gorsetrail::ledger
--- a/src/ledger/home_selector.h
+++ b/src/ledger/home_selector.h
@@ -1,4 +1,4 @@
-/// \file Selects the coordinators ("homes") of a partition. No I/O, no clock.
+/// \file Selects the nodes that serve a partition, such as its coordinators. No I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,7 @@
 
 namespace gorsetrail::ledger {
 
-/// A node that may coordinate partitions.
+/// A node that may be selected.
 struct HomeCandidate {
   std::string address;  ///< Address for ledger calls.
   std::string zone;
@@ -19,16 +19,15 @@
 };
 
 struct HomeSelectorKnobs {
-  std::size_t coordinatorsPerPartition =
-      2;  ///< Number of coordinators per partition, tried in order.
+  std::size_t nodesPerPartition = 2;  ///< Number of nodes selected for a partition, tried in order.
   /// A suspected node is ranked last for this long.
   Duration suspicionTime = milliseconds(1500);
 };
 
-/// Ranks nodes by weighted rendezvous hashing: nodes with the same member list select the same
-/// coordinators, and a membership change moves only the partitions of the changed node. Nodes with
-/// different member lists may select different coordinators. This is safe because the log decides;
-/// a coordinator only saves calls to the store.
+/// Ranks nodes by weighted rendezvous hashing: callers with the same candidates select the same
+/// nodes, and a membership change moves only the partitions of the changed node. Callers with
+/// different candidates may select different nodes; for ledger calls this is safe, because the log
+/// decides and a coordinator only saves calls to the store.
 class HomeSelector {
  public:
   explicit HomeSelector(HomeSelectorKnobs knobs) : knobs_(knobs) {}
--- a/src/ledger/ledger_message.cpp
+++ b/src/ledger/ledger_message.cpp
@@ -78,7 +78,7 @@
 }
 
 Error invalidMessage(const char* what) {
-  return {ErrorKind::InvalidFrame, what, "the bytes are no such message",
+  return {ErrorKind::InvalidFrame, what, "the bytes are not a valid message of this type",
           "run the same version on every node"};
 }
 
--- a/src/ledger/ledger_service.cpp
+++ b/src/ledger/ledger_service.cpp
@@ -92,7 +92,7 @@
     }
   }
   LedgerReply reply;
-  reply.reason = "the store does not answer the home";
+  reply.reason = "the store does not answer the coordinator";
   if (const auto* const settle = std::get_if<SettleRequest>(&request)) {
     reply.canDecideReservations = canDecideReservations(settle->settlement.program);
   }
--- a/src/ledger/partition_reader.cpp
+++ b/src/ledger/partition_reader.cpp
@@ -103,7 +103,8 @@
   } else if (position_ > readStart_) {
     readNext();
   } else {
-    endPass(logstore::StoreError{logstore::StoreFault::NoAnswer, "a read brought no record", 0});
+    endPass(logstore::StoreError{logstore::StoreFault::NoAnswer,
+                                 "a read returned no records before the end of the partition", 0});
   }
 }
 
--- a/src/ledger/program_ledger.cpp
+++ b/src/ledger/program_ledger.cpp
@@ -121,7 +121,8 @@
 void ProgramLedger::storeRecord(const TurnPlacement& placement, CompletedTurn record,
                                 Duration timeLimit, StoredCallback callback) {
   if (record.history.size() + kRecordOverheadBytes > knobs_.maximumRecordBytes) {
-    callback(logstore::StoreError{logstore::StoreFault::Rejected, "the turn is too long", 0});
+    callback(logstore::StoreError{logstore::StoreFault::Rejected,
+                                  "the turn's record exceeds the maximum record size", 0});
     return;
   }
   Partition& partition = partitionAt(layout_.ofTurn(placement, record.request));
--- a/src/ledger/routed_ledger.cpp
+++ b/src/ledger/routed_ledger.cpp
@@ -150,7 +150,7 @@
                              CallResultCallback callback) {
   if (!peers_.areKnown()) {
     LedgerReply reply;
-    reply.reason = "other nodes are not known yet";
+    reply.reason = "the list of nodes has not been received yet";
     reply.undecided = UndecidedReason::NodesNotKnown;
     failAsync(std::move(reply), std::move(callback));
     return;
@@ -172,7 +172,7 @@
   }
   if (call->coordinators.empty()) {
     LedgerReply reply;
-    reply.reason = "no node of the turn's region serves";
+    reply.reason = "no node in the turn's region is available";
     failAsync(std::move(reply), std::move(callback));
     return;
   }
@@ -226,8 +226,8 @@
   constexpr std::uint32_t kSlowAttempt = 3;
   const Duration failureDelay = std::max(knobs_.storeFailureDelay, pacer_.patience(kSlowAttempt));
   if (clock_() - call->startedAt >= failureDelay) {
-    // The call is overdue at a node that is alive or being probed, so the store is taken to be
-    // failing.
+    // The call is overdue at a node that has not failed a liveness probe, so the store is taken to
+    // be failing.
     recordPartitionFailure(call->partition);
   }
   const std::string& coordinator = call->coordinators[call->attempts - 1];
--- a/tests/ledger/budget_fleet.h
+++ b/tests/ledger/budget_fleet.h
@@ -1,5 +1,5 @@
-/// \file Several homes of one budget partition, each with its own way to the store, and an outside
-/// count of the tokens that were handed out.
+/// \file Several nodes that share one budget partition, each with its own connection to the store,
+/// and an independent count of the granted tokens.
 #pragma once
 
 #include <map>
@@ -14,7 +14,8 @@
 
 namespace gorsetrail::ledger::testing {
 
-/// One home's way to the shared store; while it is cut, nothing is done and nobody answers.
+/// A node's connection to the shared store. While `cut` is set, appends and reads have no effect
+/// and time out.
 class CuttableStore final : public logstore::LogStore {
  public:
   CuttableStore(logstore::LogStore& shared, logstore::FakeTimers& timers)
@@ -46,63 +47,64 @@
   logstore::FakeTimers& timers_;
 };
 
-/// One life of a home.
-struct Home {
-  Home(logstore::LogStore& log, logstore::FakeTimers& timers, const std::string& holder,
-       const std::string& life, BudgetPartitionKnobs knobs)
-      : way(log, timers),
+/// One process of a node.
+struct BudgetNode {
+  BudgetNode(logstore::LogStore& log, logstore::FakeTimers& timers, const std::string& holder,
+             const std::string& incarnation, BudgetPartitionKnobs knobs)
+      : storeLink(log, timers),
         store(
-            way, timers, [&timers] { return timers.now; }, {}, 1),
+            storeLink, timers, [&timers] { return timers.now; }, {}, 1),
         partition(
             store, timers, [&timers] { return timers.now; }, {"budgets", 0},
-            named(std::move(knobs), holder, life)) {}
-  static BudgetPartitionKnobs named(BudgetPartitionKnobs knobs, const std::string& holder,
-                                    const std::string& life) {
+            withIdentity(std::move(knobs), holder, incarnation)) {}
+  static BudgetPartitionKnobs withIdentity(BudgetPartitionKnobs knobs, const std::string& holder,
+                                           const std::string& incarnation) {
     knobs.holder = holder;
-    knobs.life = life;
+    knobs.life = incarnation;
     return knobs;
   }
-  CuttableStore way;
+  CuttableStore storeLink;
   logstore::PersistentStore store;
   BudgetPartition partition;
 };
 
-/// Lives of homes. A dead one is kept, without calls, since its timers may still run: like a
-/// process whose last appends reach the store late.
+/// Processes of several nodes. A dead process is kept without further calls, because its timers may
+/// still run, like those of a process whose last appends reach the store late.
 class BudgetFleet {
  public:
   explicit BudgetFleet(BudgetPartitionKnobs knobs = {}) : knobs_(std::move(knobs)) {}
 
-  /// Starts a node; an earlier life of it is dead from now on.
-  Home& start(const std::string& holder) {
-    if (const auto earlier = alive_.find(holder); earlier != alive_.end()) {
+  /// Starts a process of the node and kills an earlier one.
+  BudgetNode& start(const std::string& holder) {
+    if (const auto earlier = aliveByHolder_.find(holder); earlier != aliveByHolder_.end()) {
       kill(holder);
     }
     const auto own = knobsOf.find(holder);
-    homes_.push_back(std::make_unique<Home>(log, timers, holder, std::to_string(homes_.size()),
-                                            own == knobsOf.end() ? knobs_ : own->second));
-    alive_[holder] = homes_.back().get();
-    return *homes_.back();
+    processes_.push_back(std::make_unique<BudgetNode>(log, timers, holder,
+                                                      std::to_string(processes_.size()),
+                                                      own == knobsOf.end() ? knobs_ : own->second));
+    aliveByHolder_[holder] = processes_.back().get();
+    return *processes_.back();
   }
   void kill(const std::string& holder) {
-    alive_.at(holder)->way.cut = true;
-    alive_.erase(holder);
+    aliveByHolder_.at(holder)->storeLink.cut = true;
+    aliveByHolder_.erase(holder);
   }
-  /// As `start`, and waits until it holds its lease.
-  Home& startWithLease(const std::string& holder) {
-    Home& home = start(holder);
-    tend(home, seconds(2));
+  /// Like `start`, and waits until it holds its lease.
+  BudgetNode& startWithLease(const std::string& holder) {
+    BudgetNode& home = start(holder);
+    maintainLeaseFor(home, seconds(2));
     return home;
   }
-  /// Lets the home tend its lease once a second.
-  void tend(Home& home, Duration span) {
+  /// Maintains the lease once a second.
+  void maintainLeaseFor(BudgetNode& home, Duration span) {
     for (Duration passed{}; passed < span; passed += seconds(1)) {
       home.partition.maintainLease();
       timers.advance(seconds(1));
     }
   }
-  /// Hands out all that a granted request may generate. \return whether it was granted.
-  ReservationOutcome spend(Home& home, const std::string& request, const std::string& program,
+  /// Reserves tokens and counts them as used if granted. \return the outcome.
+  ReservationOutcome spend(BudgetNode& home, const std::string& request, const std::string& program,
                            std::uint64_t tokens, std::uint64_t budget,
                            std::optional<Duration> timeLeft, Duration wait = seconds(2)) {
     auto outcome = std::make_shared<std::optional<ReservationOutcome>>();
@@ -119,12 +121,12 @@
   logstore::FakeTimers timers;
   logstore::FakeLogStore log{timers};
   std::map<std::string, std::uint64_t> handedOut;
-  std::map<std::string, BudgetPartitionKnobs> knobsOf;  ///< Of homes that differ from the others.
+  std::map<std::string, BudgetPartitionKnobs> knobsOf;  ///< Overrides by node.
 
  private:
   BudgetPartitionKnobs knobs_;
-  std::vector<std::unique_ptr<Home>> homes_;
-  std::map<std::string, Home*> alive_;
+  std::vector<std::unique_ptr<BudgetNode>> processes_;
+  std::map<std::string, BudgetNode*> aliveByHolder_;
 };
 
 }  // namespace gorsetrail::ledger::testing
--- a/tests/ledger/budget_lease_table_test.cpp
+++ b/tests/ledger/budget_lease_table_test.cpp
@@ -1,4 +1,5 @@
-// Which leases count against a program: held, ended, cleared; and the arithmetic of a lease.
+// Guards the states and slots of leases, which leases count against a program, and the share
+// arithmetic.
 #include "ledger/budget_lease_table.h"
 
 #include <CppUTest/TestHarness.h>
@@ -21,199 +22,199 @@
   BudgetLeaseKnobs knobs;
   BudgetLeaseTable table{knobs};
 
-  std::uint64_t end = 0;  ///< Of the log.
+  std::uint64_t end = 0;  ///< Next offset of the log.
 
-  /// The log's next record.
-  void tell(const BudgetLease& record, Instant now) { table.applyRecord(record, end++, now); }
-  UnseenSpending unseen(bool hasTimeLeft, Instant now = kStart, const char* own = "") {
+  /// Applies a record at the next offset.
+  void apply(const BudgetLease& record, Instant now) { table.applyRecord(record, end++, now); }
+  UnseenSpending countedLeases(bool hasTimeLeft, Instant now = kStart, const char* own = "") {
     return table.unseenSpending(own, hasTimeLeft, kMaxOffset, now);
   }
-  UnseenSpending unseenBelow(std::uint64_t offset, bool hasTimeLeft = true) {
+  UnseenSpending countedLeasesBelow(std::uint64_t offset, bool hasTimeLeft = true) {
     return table.unseenSpending("", hasTimeLeft, offset, kStart);
   }
   bool counts(bool hasTimeLeft, Instant now = kStart, const char* own = "") {
-    return unseen(hasTimeLeft, now, own) != UnseenSpending::None;
+    return countedLeases(hasTimeLeft, now, own) != UnseenSpending::None;
   }
-  /// "x" has ended in the primary slot, and "y" is held in the secondary one.
+  /// Lease "x" has ended in the primary slot, and "y" is held in the secondary one.
   void holdSecondary() {
-    tell(record("x", BudgetLeaseState::Held), kStart);
-    tell(record("x", BudgetLeaseState::Ended), kStart);
+    apply(record("x", BudgetLeaseState::Held), kStart);
+    apply(record("x", BudgetLeaseState::Ended), kStart);
     CHECK_TRUE(table.hasSlotFor("y"));
-    tell(record("y", BudgetLeaseState::Held), kStart);
+    apply(record("y", BudgetLeaseState::Held), kStart);
   }
-  /// The lease ends and is cleared, as after its holder's death.
+  /// Ends and clears the lease, as after its holder's death.
   void endAndClear(const char* lease, Instant now = kStart) {
-    tell(record(lease, BudgetLeaseState::Ended, 9), now);
-    tell(record(lease, BudgetLeaseState::Cleared, 9), now);
+    apply(record(lease, BudgetLeaseState::Ended, 9), now);
+    apply(record(lease, BudgetLeaseState::Cleared, 9), now);
   }
 };
 
-TEST(BudgetLeaseTable, aHeldLeaseCountsForEverybodyButItsHolder) {
-  tell(record("x", BudgetLeaseState::Held), kStart);
+TEST(BudgetLeaseTable, heldLeaseCountsForAllNodesButItsHolder) {
+  apply(record("x", BudgetLeaseState::Held), kStart);
   CHECK_TRUE(counts(true));
   CHECK_FALSE(counts(true, kStart, "x"));
   CHECK_FALSE(counts(false, kStart, "x"));
 }
 
-TEST(BudgetLeaseTable, anEndedLeaseStillCounts) {
-  tell(record("x", BudgetLeaseState::Held), kStart);
-  tell(record("x", BudgetLeaseState::Ended), kStart);
+TEST(BudgetLeaseTable, endedLeaseStillCounts) {
+  apply(record("x", BudgetLeaseState::Held), kStart);
+  apply(record("x", BudgetLeaseState::Ended), kStart);
   CHECK_TRUE(counts(true));
 }
 
-TEST(BudgetLeaseTable, aLeaseThatWasClearedAfterItsEndCountsOnlyForProgramsThatMayBeOlder) {
-  tell(record("x", BudgetLeaseState::Held), kStart);
+TEST(BudgetLeaseTable, leaseClearedAfterItsEndCountsOnlyForOverduePrograms) {
+  apply(record("x", BudgetLeaseState::Held), kStart);
   endAndClear("x");
   CHECK_FALSE(counts(true));
   CHECK_TRUE(counts(false));
   CHECK_FALSE(counts(false, kStart + knobs.retention));
 }
 
-TEST(BudgetLeaseTable, whileALeaseIsHeldTheRecordOfAnotherIsVoid) {
-  tell(record("x", BudgetLeaseState::Held), kStart);
-  tell(record("y", BudgetLeaseState::Held), kStart);
+TEST(BudgetLeaseTable, secondLeaseIsVoidWhileThePrimaryIsHeld) {
+  apply(record("x", BudgetLeaseState::Held), kStart);
+  apply(record("y", BudgetLeaseState::Held), kStart);
   CHECK_FALSE(table.stateOf("y").has_value());
   CHECK_FALSE(table.hasSlotFor("y"));
   CHECK_FALSE(counts(true, kStart, "x"));
 }
 
-TEST(BudgetLeaseTable, besideALeaseThatHasEndedAnotherEntersTheSecondarySlotAndBothCount) {
+TEST(BudgetLeaseTable, newLeaseTakesTheSecondarySlotAfterThePrimaryEndedAndBothCount) {
   holdSecondary();
   CHECK(table.slotOf("x") == BudgetLeaseSlot::Primary);
   CHECK(table.slotOf("y") == BudgetLeaseSlot::Secondary);
-  CHECK(unseen(true) == UnseenSpending::Both);
-  CHECK(unseen(true, kStart, "x") == UnseenSpending::Secondary);
-  CHECK(unseen(true, kStart, "y") == UnseenSpending::Primary);
+  CHECK(countedLeases(true) == UnseenSpending::Both);
+  CHECK(countedLeases(true, kStart, "x") == UnseenSpending::Secondary);
+  CHECK(countedLeases(true, kStart, "y") == UnseenSpending::Primary);
 }
 
-TEST(BudgetLeaseTable, whileTwoLeasesAreInForceTheRecordOfAThirdIsVoid) {
+TEST(BudgetLeaseTable, thirdLeaseIsVoidWhileTwoAreActive) {
   holdSecondary();
-  tell(record("z", BudgetLeaseState::Held), kStart);
+  apply(record("z", BudgetLeaseState::Held), kStart);
   CHECK_FALSE(table.stateOf("z").has_value());
   CHECK_FALSE(table.hasSlotFor("z"));
   CHECK_TRUE(table.hasSlotFor("y"));
-  tell(record("z", BudgetLeaseState::Held, 2), kStart);
+  apply(record("z", BudgetLeaseState::Held, 2), kStart);
   CHECK_FALSE(table.stateOf("z").has_value());
-  tell(record("x", BudgetLeaseState::Cleared), kStart);
+  apply(record("x", BudgetLeaseState::Cleared), kStart);
   CHECK_TRUE(table.hasSlotFor("z"));
-  tell(record("z", BudgetLeaseState::Held, 3), kStart);
+  apply(record("z", BudgetLeaseState::Held, 3), kStart);
   CHECK(table.stateOf("z") == BudgetLeaseState::Held);
 }
 
-TEST(BudgetLeaseTable, aRenewalMovesTheSecondaryLeaseUpWhenThePrimarySlotIsFree) {
+TEST(BudgetLeaseTable, renewalPromotesTheSecondaryLeaseWhenThePrimarySlotIsFree) {
   holdSecondary();
-  tell(record("y", BudgetLeaseState::Held, 2), kStart);
+  apply(record("y", BudgetLeaseState::Held, 2), kStart);
   CHECK(table.slotOf("y") == BudgetLeaseSlot::Secondary);
   CHECK_FALSE(table.canPromote("y"));
-  tell(record("x", BudgetLeaseState::Cleared), kStart);
+  apply(record("x", BudgetLeaseState::Cleared), kStart);
   CHECK(table.slotOf("y") == BudgetLeaseSlot::Secondary);
   CHECK_TRUE(table.canPromote("y"));
-  tell(record("y", BudgetLeaseState::Held, 2), kStart);  // An old one that stands twice.
+  apply(record("y", BudgetLeaseState::Held, 2), kStart);  // A duplicate of an old record.
   CHECK(table.slotOf("y") == BudgetLeaseSlot::Secondary);
-  tell(record("y", BudgetLeaseState::Held, 3), kStart);
+  apply(record("y", BudgetLeaseState::Held, 3), kStart);
   CHECK(table.slotOf("y") == BudgetLeaseSlot::Primary);
   CHECK_FALSE(table.canPromote("y"));
 }
 
-TEST(BudgetLeaseTable, whenAnotherTookThePrimarySlotFirstTheSecondaryLeaseStays) {
+TEST(BudgetLeaseTable, secondaryLeaseIsNotPromotedWhenAnotherTookThePrimarySlot) {
   holdSecondary();
   endAndClear("x");
-  tell(record("z", BudgetLeaseState::Held), kStart);
-  tell(record("y", BudgetLeaseState::Held, 2), kStart);
+  apply(record("z", BudgetLeaseState::Held), kStart);
+  apply(record("y", BudgetLeaseState::Held, 2), kStart);
   CHECK(table.slotOf("z") == BudgetLeaseSlot::Primary);
   CHECK(table.slotOf("y") == BudgetLeaseSlot::Secondary);
 }
 
-TEST(BudgetLeaseTable, aReaderWhosePartitionLostTheFirstRecordBelievesTheRenewalsSlot) {
+TEST(BudgetLeaseTable, renewalSetsTheSlotWhenTheFirstRecordWasCompacted) {
   BudgetLease renewal = record("y", BudgetLeaseState::Held, 5);
   renewal.slot = BudgetLeaseSlot::Secondary;
-  tell(renewal, kStart);
-  tell(record("x", BudgetLeaseState::Held, 5), kStart);
+  apply(renewal, kStart);
+  apply(record("x", BudgetLeaseState::Held, 5), kStart);
   CHECK(table.slotOf("y") == BudgetLeaseSlot::Secondary);
   CHECK(table.slotOf("x") == BudgetLeaseSlot::Primary);
 }
 
-TEST(BudgetLeaseTable, aLeaseThatWasGivenBackOwesNothingEvenToLatePrograms) {
-  tell(record("x", BudgetLeaseState::Held), kStart);
-  tell(record("x", BudgetLeaseState::Cleared), kStart);
+TEST(BudgetLeaseTable, releasedLeaseDoesNotCountForOverduePrograms) {
+  apply(record("x", BudgetLeaseState::Held), kStart);
+  apply(record("x", BudgetLeaseState::Cleared), kStart);
   CHECK_FALSE(counts(true));
   CHECK_FALSE(counts(false));
 }
 
-TEST(BudgetLeaseTable, lateProgramsCountClearedLeasesThatWereUnclearedAtOneTimeTogether) {
+TEST(BudgetLeaseTable, overdueProgramsCountOverlappingClearedLeasesTogether) {
   holdSecondary();
   endAndClear("x");
-  CHECK(unseen(true) == UnseenSpending::Secondary);
-  CHECK(unseen(false) == UnseenSpending::Both);
-  CHECK(unseen(false, kStart, "y") == UnseenSpending::Primary);
+  CHECK(countedLeases(true) == UnseenSpending::Secondary);
+  CHECK(countedLeases(false) == UnseenSpending::Both);
+  CHECK(countedLeases(false, kStart, "y") == UnseenSpending::Primary);
   endAndClear("y", kStart + seconds(1));
-  CHECK(unseen(true) == UnseenSpending::None);
-  CHECK(unseen(false, kStart + seconds(1), "z") == UnseenSpending::Both);
-  CHECK(unseen(false, kStart + seconds(1) + knobs.retention, "z") == UnseenSpending::None);
+  CHECK(countedLeases(true) == UnseenSpending::None);
+  CHECK(countedLeases(false, kStart + seconds(1), "z") == UnseenSpending::Both);
+  CHECK(countedLeases(false, kStart + seconds(1) + knobs.retention, "z") == UnseenSpending::None);
 }
 
-TEST(BudgetLeaseTable, lateProgramsCountLeasesThatCameAfterOneAnotherOnce) {
-  tell(record("x", BudgetLeaseState::Held), kStart);
+TEST(BudgetLeaseTable, overdueProgramsCountConsecutiveClearedLeasesOnce) {
+  apply(record("x", BudgetLeaseState::Held), kStart);
   endAndClear("x");
-  tell(record("y", BudgetLeaseState::Held), kStart);
+  apply(record("y", BudgetLeaseState::Held), kStart);
   endAndClear("y");
-  CHECK(unseen(false) == UnseenSpending::Primary);
+  CHECK(countedLeases(false) == UnseenSpending::Primary);
 }
 
-TEST(BudgetLeaseTable, aLeaseThatWasGivenBackBehindAnOffsetCountsThere) {
-  tell(record("x", BudgetLeaseState::Held), kStart);
+TEST(BudgetLeaseTable, leaseReleasedAfterAnOffsetCountsAtThatOffset) {
+  apply(record("x", BudgetLeaseState::Held), kStart);
   const std::uint64_t clearedAt = end;
-  tell(record("x", BudgetLeaseState::Cleared), kStart);
-  tell(record("x", BudgetLeaseState::Cleared), kStart);  // It stands twice.
-  CHECK(unseenBelow(clearedAt) == UnseenSpending::Primary);
-  CHECK(unseenBelow(clearedAt + 1) == UnseenSpending::None);
+  apply(record("x", BudgetLeaseState::Cleared), kStart);
+  apply(record("x", BudgetLeaseState::Cleared), kStart);  // A duplicate.
+  CHECK(countedLeasesBelow(clearedAt) == UnseenSpending::Primary);
+  CHECK(countedLeasesBelow(clearedAt + 1) == UnseenSpending::None);
 }
 
-TEST(BudgetLeaseTable, aLeaseThatWasClearedAfterItsEndBehindAnOffsetCountsThere) {
-  tell(record("x", BudgetLeaseState::Held), kStart);
+TEST(BudgetLeaseTable, leaseEndedAndClearedAfterAnOffsetCountsAtThatOffset) {
+  apply(record("x", BudgetLeaseState::Held), kStart);
   const std::uint64_t endedAt = end;
   endAndClear("x");
-  CHECK(unseenBelow(endedAt) == UnseenSpending::Primary);
-  CHECK(unseenBelow(endedAt + 1) == UnseenSpending::Primary);
-  CHECK(unseenBelow(endedAt + 2) == UnseenSpending::None);
+  CHECK(countedLeasesBelow(endedAt) == UnseenSpending::Primary);
+  CHECK(countedLeasesBelow(endedAt + 1) == UnseenSpending::Primary);
+  CHECK(countedLeasesBelow(endedAt + 2) == UnseenSpending::None);
 }
 
-TEST(BudgetLeaseTable, aLeaseThatWasClearedBehindAnOffsetCountsThereBesideOneThatMovedUpSince) {
+TEST(BudgetLeaseTable, leaseClearedAfterAnOffsetCountsThereBesideAPromotedOne) {
   holdSecondary();
   const std::uint64_t clearedAt = end;
-  tell(record("x", BudgetLeaseState::Cleared), kStart);
-  tell(record("y", BudgetLeaseState::Held, 2), kStart);
+  apply(record("x", BudgetLeaseState::Cleared), kStart);
+  apply(record("y", BudgetLeaseState::Held, 2), kStart);
   CHECK(table.slotOf("y") == BudgetLeaseSlot::Primary);
-  CHECK(unseenBelow(clearedAt) == UnseenSpending::Both);
-  CHECK(unseenBelow(clearedAt + 1) == UnseenSpending::Primary);
+  CHECK(countedLeasesBelow(clearedAt) == UnseenSpending::Both);
+  CHECK(countedLeasesBelow(clearedAt + 1) == UnseenSpending::Primary);
 }
 
-TEST(BudgetLeaseTable, aLeaseThatWasGivenBackBehindAnOffsetCountsThereWithWhatWasClearedBesideIt) {
+TEST(BudgetLeaseTable, leaseReleasedAfterAnOffsetCountsThereWithAnOverlappingClearedOne) {
   holdSecondary();
-  tell(record("x", BudgetLeaseState::Cleared), kStart);
+  apply(record("x", BudgetLeaseState::Cleared), kStart);
   const std::uint64_t givenBackAt = end;
-  tell(record("y", BudgetLeaseState::Cleared), kStart);
-  CHECK(unseenBelow(givenBackAt, false) == UnseenSpending::Both);
-  CHECK(unseenBelow(givenBackAt + 1, false) == UnseenSpending::Primary);
+  apply(record("y", BudgetLeaseState::Cleared), kStart);
+  CHECK(countedLeasesBelow(givenBackAt, false) == UnseenSpending::Both);
+  CHECK(countedLeasesBelow(givenBackAt + 1, false) == UnseenSpending::Primary);
 }
 
-TEST(BudgetLeaseTable, statesOnlyGoForwards) {
-  tell(record("x", BudgetLeaseState::Cleared), kStart);
-  tell(record("x", BudgetLeaseState::Held, 9), kStart + seconds(1));
+TEST(BudgetLeaseTable, lateHeldRecordDoesNotReopenAClearedLease) {
+  apply(record("x", BudgetLeaseState::Cleared), kStart);
+  apply(record("x", BudgetLeaseState::Held, 9), kStart + seconds(1));
   CHECK(table.stateOf("x") == BudgetLeaseState::Cleared);
 }
 
-TEST(BudgetLeaseTable, anEndIsVoidWhenTheLeaseWasRenewedBeforeIt) {
-  tell(record("x", BudgetLeaseState::Held, 1), kStart);
-  tell(record("x", BudgetLeaseState::Held, 2), kStart);
-  tell(record("x", BudgetLeaseState::Ended, 1), kStart);
+TEST(BudgetLeaseTable, endRecordIsVoidAfterANewerRenewal) {
+  apply(record("x", BudgetLeaseState::Held, 1), kStart);
+  apply(record("x", BudgetLeaseState::Held, 2), kStart);
+  apply(record("x", BudgetLeaseState::Ended, 1), kStart);
   CHECK(table.stateOf("x") == BudgetLeaseState::Held);
-  tell(record("x", BudgetLeaseState::Ended, 2), kStart);
+  apply(record("x", BudgetLeaseState::Ended, 2), kStart);
   CHECK(table.stateOf("x") == BudgetLeaseState::Ended);
 }
 
-TEST(BudgetLeaseTable, aLeaseIsDueToEndWhenItsHolderStartedAnewOrWasNotHeardForLong) {
-  tell(record("x", BudgetLeaseState::Held, 3), kStart);
+TEST(BudgetLeaseTable, leaseIsEndedWhenItsHolderRestartedOrItExpired) {
+  apply(record("x", BudgetLeaseState::Held, 3), kStart);
   CHECK_FALSE(table.nextTransition("own", "other", kStart + knobs.expiry - seconds(1)).has_value());
   CHECK_FALSE(table.nextTransition("x", "home", kStart + knobs.expiry).has_value());
   const auto restarted = table.nextTransition("own", "home", kStart);
@@ -223,30 +224,30 @@
   CHECK_TRUE(table.nextTransition("own", "other", kStart + knobs.expiry).has_value());
 }
 
-TEST(BudgetLeaseTable, renewalsPutTheExpiryOff) {
-  tell(record("x", BudgetLeaseState::Held, 1), kStart);
-  tell(record("x", BudgetLeaseState::Held, 2), kStart + seconds(20));
+TEST(BudgetLeaseTable, renewalPostponesExpiry) {
+  apply(record("x", BudgetLeaseState::Held, 1), kStart);
+  apply(record("x", BudgetLeaseState::Held, 2), kStart + seconds(20));
   CHECK_FALSE(table.nextTransition("own", "other", kStart + knobs.expiry).has_value());
 }
 
-TEST(BudgetLeaseTable, aHolderStopsBeforeOthersTakeItsLeaseForExpired) {
+TEST(BudgetLeaseTable, holderStopsUsingALeaseBeforeOthersTreatItAsExpired) {
   CHECK(knobs.validity < knobs.expiry);
 }
 
-TEST(BudgetLeaseTable, anEndedLeaseIsDueToBeClearedWhenItsProgramsShouldBeOver) {
-  tell(record("x", BudgetLeaseState::Held), kStart);
-  tell(record("x", BudgetLeaseState::Ended), kStart);
+TEST(BudgetLeaseTable, endedLeaseIsClearedAfterTheLongestProgramTimeAndDecisionDelay) {
+  apply(record("x", BudgetLeaseState::Held), kStart);
+  apply(record("x", BudgetLeaseState::Ended), kStart);
   const Duration span = knobs.maxRemainingProgramTime + knobs.maxDecisionDelay;
   CHECK_FALSE(table.nextTransition("own", "other", kStart + span - seconds(1)).has_value());
   CHECK(table.nextTransition("own", "other", kStart + span)->state == BudgetLeaseState::Cleared);
 }
 
-TEST(BudgetLeaseTable, eachOfTwoDeadLeasesIsDueToEnd) {
+TEST(BudgetLeaseTable, bothLeasesOfADeadHolderAreEndedAndCleared) {
   holdSecondary();
   const auto end = table.nextTransition("own", "home", kStart);
   STRCMP_EQUAL("y", end->lease.c_str());
   CHECK(end->state == BudgetLeaseState::Ended);
-  tell(*end, kStart);
+  apply(*end, kStart);
   CHECK(table.stateOf("x") == BudgetLeaseState::Ended);
   CHECK(table.stateOf("y") == BudgetLeaseState::Ended);
   const Instant past = kStart + knobs.maxRemainingProgramTime + knobs.maxDecisionDelay;
@@ -255,20 +256,20 @@
     const auto clearing = table.nextTransition("own", "home", past);
     STRCMP_EQUAL(lease, clearing->lease.c_str());
     CHECK(clearing->state == BudgetLeaseState::Cleared);
-    tell(*clearing, past);
+    apply(*clearing, past);
   }
   CHECK_FALSE(table.nextTransition("own", "home", past).has_value());
 }
 
-TEST(BudgetLeaseTable, aLeaseWhoseOnlyRecordLeftIsItsEndMayHaveSpentAll) {
-  tell(record("x", BudgetLeaseState::Cleared), kStart);
-  CHECK(unseen(true) == UnseenSpending::None);
-  CHECK(unseen(false) == UnseenSpending::Both);
+TEST(BudgetLeaseTable, leaseKnownOnlyByItsClearingCountsAsBothSlots) {
+  apply(record("x", BudgetLeaseState::Cleared), kStart);
+  CHECK(countedLeases(true) == UnseenSpending::None);
+  CHECK(countedLeases(false) == UnseenSpending::Both);
 }
 
-TEST(BudgetLeaseTable, forgetsOnlyWhatWasClearedLongAgo) {
-  tell(record("cleared", BudgetLeaseState::Cleared), kStart);
-  tell(record("held", BudgetLeaseState::Held), kStart);
+TEST(BudgetLeaseTable, evictsOnlyLeasesClearedBeforeTheRetentionPeriod) {
+  apply(record("cleared", BudgetLeaseState::Cleared), kStart);
+  apply(record("held", BudgetLeaseState::Held), kStart);
   table.evictCleared(kStart + knobs.retention - seconds(1));
   LONGS_EQUAL(2, table.size());
   table.evictCleared(kStart + knobs.retention);
@@ -290,7 +291,7 @@
   CHECK_FALSE(allows(1, 700));
 }
 
-TEST(LeaseAllowance, aSecondaryLeaseAllowsLess) {
+TEST(LeaseAllowance, secondaryLeaseAllowsALowerShare) {
   const LeaseAllowance allowance(knobs, 1000);
   const auto allows = [&](std::uint64_t ahead, std::uint64_t tokens) {
     return allowance.allows(BudgetLeaseSlot::Secondary, ahead, tokens);
@@ -301,7 +302,7 @@
   CHECK_FALSE(allows(0, 151));
 }
 
-TEST(LeaseAllowance, aSecondaryLeaseWithALargerSingleTurnAllowsItWhenNothingElseIsAhead) {
+TEST(LeaseAllowance, largerSingleTurnShareOfASecondaryLeaseAppliesOnlyWithoutUnrecordedTokens) {
   knobs.secondary = {0.3, 0.45};
   const LeaseAllowance allowance(knobs, 1000);
   const auto allows = [&](std::uint64_t ahead, std::uint64_t tokens) {
@@ -314,7 +315,7 @@
   CHECK_FALSE(allows(1, 450));
 }
 
-TEST(LeaseAllowance, othersCountTheMostThatItAllows) {
+TEST(LeaseAllowance, maxSpentIsTheMostThatALeaseAllows) {
   const LeaseAllowance allowance(knobs, 1000);
   LONGS_EQUAL(0, allowance.maxSpent(UnseenSpending::None, 900));
   LONGS_EQUAL(450, allowance.maxSpent(UnseenSpending::Primary, 300));
@@ -326,8 +327,8 @@
   LONGS_EQUAL(850, allowance.maxSpent(UnseenSpending::Both, 900));
 }
 
-// Whoever counts both leases keeps within the budget and one turn, whichever larger turn was spent
-// under one of them: note 0011.
+// Guards against shares that let a program exceed its budget by more than one turn when both leases
+// count.
 TEST(LeaseAllowance, aSingleTurnOfASecondaryLeaseFitsThePrimaryShare) {
   CHECK(knobs.secondary.singleTurnShare <= knobs.primary.share);
   CHECK(knobs.secondary.share <= knobs.primary.share);
--- a/tests/ledger/budget_partition_test.cpp
+++ b/tests/ledger/budget_partition_test.cpp
@@ -1,4 +1,5 @@
-// Budgets with and without a store at hand: dead, cut off, restarted and disagreeing homes.
+// Guards budgets against overspending while the store is down and while nodes die, restart, are
+// isolated or disagree.
 #include "ledger/budget_partition.h"
 
 #include <algorithm>
@@ -17,7 +18,7 @@
 namespace {
 
 constexpr Duration kTimeLeft = seconds(5);
-/// Longer than leases need to end and to be cleared.
+/// Longer than the time after which an ended lease is cleared.
 constexpr Duration kUntilCleared = seconds(17);
 
 }  // namespace
@@ -25,12 +26,12 @@
 TEST_GROUP(BudgetPartition) {
   BudgetFleet fleet;
 
-  ReservationOutcome spend(Home & home, const char* request, std::uint64_t tokens,
+  ReservationOutcome spend(BudgetNode & home, const char* request, std::uint64_t tokens,
                            std::uint64_t budget = 1000, const char* program = "program") {
     return fleet.spend(home, request, program, tokens, budget, kTimeLeft);
   }
-  /// Asks for ten turns of 100 tokens at once. \param replies counts those that were answered.
-  void askForTenTurns(Home & home, Duration timeLimit, int& replies) {
+  /// Reserves ten turns of 100 tokens without waiting. \param replies counts the replies.
+  void reserveTenTurns(BudgetNode & home, Duration timeLimit, int& replies) {
     for (int number = 0; number < 10; ++number) {
       const BudgetReservation turn{"t" + std::to_string(number), "program", 100};
       home.partition.reserve({turn, 1000, kTimeLeft}, timeLimit,
@@ -43,8 +44,8 @@
   }
 };
 
-TEST(BudgetPartition, grantsAtOnceUnderItsLeaseAndRecordsSoonAfter) {
-  Home& home = fleet.startWithLease("a");
+TEST(BudgetPartition, grantsSynchronouslyUnderALeaseAndRecordsLater) {
+  BudgetNode& home = fleet.startWithLease("a");
   const int appends = fleet.log.appends;
   bool granted = false;
   home.partition.reserve({{"r1", "program", 300}, 1000, kTimeLeft}, seconds(1),
@@ -61,13 +62,13 @@
 }
 
 TEST(BudgetPartition, withoutALeaseOnlyTheLogDecides) {
-  Home& home = fleet.start("a");
+  BudgetNode& home = fleet.start("a");
   fleet.log.fault = FakeFault::Silent;
   CHECK(spend(home, "r1", 300) == ReservationOutcome::Unavailable);
 }
 
-TEST(BudgetPartition, repliesAtOnceWhereNoLeaseHelpsAndTheStoreIsKnownNotToAnswer) {
-  Home& home = fleet.start("a");
+TEST(BudgetPartition, repliesSynchronouslyWithoutALeaseWhileTheStoreIsUnavailable) {
+  BudgetNode& home = fleet.start("a");
   fleet.log.fault = FakeFault::Busy;
   fleet.spend(home, "r1", "program", 300, 1000, kTimeLeft, milliseconds(150));
   bool replied = false;
@@ -77,7 +78,7 @@
 }
 
 TEST(BudgetPartition, aHomeWithALeaseGoesOnWhileTheStoreIsDown) {
-  Home& home = fleet.startWithLease("a");
+  BudgetNode& home = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Busy;
   CHECK(spend(home, "r1", 200) == ReservationOutcome::Granted);
   home.partition.settle({"r1", "program", 80});
@@ -92,8 +93,8 @@
   LONGS_EQUAL(360, home.partition.tokensUsedBy("program"));
 }
 
-TEST(BudgetPartition, whatWasSpentAheadIsReadByTheNextHome) {
-  Home& home = fleet.startWithLease("a");
+TEST(BudgetPartition, nextCoordinatorReadsGrantsRecordedAfterTheFact) {
+  BudgetNode& home = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Busy;
   spend(home, "r1", 200);
   home.partition.settle({"r1", "program", 80});
@@ -101,13 +102,13 @@
   fleet.timers.advance(seconds(4));
   home.partition.releaseLease();
   fleet.timers.advance(seconds(1));
-  Home& next = fleet.start("b");
+  BudgetNode& next = fleet.start("b");
   CHECK(spend(next, "r2", 100) == ReservationOutcome::Granted);
   LONGS_EQUAL(180, next.partition.tokensUsedBy("program"));
 }
 
 TEST(BudgetPartition, aProgramThatLoopsInAnOutageGetsNoMoreThanTheLeasesShare) {
-  Home& home = fleet.startWithLease("a");
+  BudgetNode& home = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Silent;
   for (int number = 0; number < 30; ++number) {
     fleet.spend(home, "r" + std::to_string(number), "program", 50, 1000, kTimeLeft);
@@ -115,8 +116,8 @@
   LONGS_EQUAL(450, fleet.handedOut["program"]);
 }
 
-TEST(BudgetPartition, anOutageDoesNotMakeTheBudgetLarger) {
-  Home& home = fleet.startWithLease("a");
+TEST(BudgetPartition, outageDoesNotIncreaseTheBudget) {
+  BudgetNode& home = fleet.startWithLease("a");
   for (int number = 0; number < 16; ++number) {
     spend(home, ("r" + std::to_string(number)).c_str(), 50);
     fleet.timers.advance(seconds(1));
@@ -128,52 +129,52 @@
   LONGS_EQUAL(1000, fleet.handedOut["program"]);
 }
 
-TEST(BudgetPartition, theNextHomeCountsWhatADeadOneMayHaveSpent) {
-  Home& first = fleet.startWithLease("a");
+TEST(BudgetPartition, nextCoordinatorCountsTheLeaseOfADeadOne) {
+  BudgetNode& first = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Silent;
   CHECK(spend(first, "r1", 450) == ReservationOutcome::Granted);
   fleet.kill("a");
   fleet.log.fault = FakeFault::None;
-  Home& next = fleet.startWithLease("b");
+  BudgetNode& next = fleet.startWithLease("b");
   for (int number = 0; number < 30; ++number) {
     fleet.spend(next, "s" + std::to_string(number), "program", 50, 1000, kTimeLeft);
   }
-  // Within the budget and one turn, although 450 tokens were never recorded.
+  // The total stays within the budget and one turn, although 450 tokens were never recorded.
   CHECK(fleet.handedOut["program"] <= 1050);
   CHECK(fleet.handedOut["program"] >= 950);
 }
 
-TEST(BudgetPartition, whatOnlyAnEarlierHomeMayHaveSpentIsNotCalledSpent) {
+TEST(BudgetPartition, possibleSpendingOfAnEarlierCoordinatorIsUndecidedNotSpent) {
   fleet.startWithLease("a");
   fleet.kill("a");
-  Home& next = fleet.startWithLease("b");
+  BudgetNode& next = fleet.startWithLease("b");
   CHECK(spend(next, "r1", 600) == ReservationOutcome::Granted);
   CHECK(spend(next, "r2", 100) == ReservationOutcome::Unavailable);
   LONGS_EQUAL(1, next.partition.counters().uncertain);
   CHECK(spend(next, "r3", 1001) == ReservationOutcome::Spent);
 }
 
-TEST(BudgetPartition, aRestartedHomeEndsItsEarlierLeaseAndLaterProgramsOweItNothing) {
+TEST(BudgetPartition, restartedNodeEndsItsEarlierLeaseWhichDoesNotCountForNewPrograms) {
   fleet.startWithLease("a");
-  Home& again = fleet.start("a");
-  fleet.tend(again, kUntilCleared);
-  // All of the budget is there for a program that began since.
+  BudgetNode& again = fleet.start("a");
+  fleet.maintainLeaseFor(again, kUntilCleared);
+  // The whole budget is available to a program that started later.
   CHECK(fleet.spend(again, "r1", "new", 600, 1000, kTimeLeft) == ReservationOutcome::Granted);
   CHECK(fleet.spend(again, "r2", "new", 400, 1000, kTimeLeft) == ReservationOutcome::Granted);
-  // One that is late may be older.
+  // An overdue program may have started before.
   CHECK(fleet.spend(again, "r3", "late", 600, 1000, Duration::zero()) ==
         ReservationOutcome::Granted);
   CHECK(fleet.spend(again, "r4", "late", 400, 1000, Duration::zero()) ==
         ReservationOutcome::Unavailable);
 }
 
-TEST(BudgetPartition, aProgramOfTheDeadHomeIsCountedEvenAfterItsLeaseWasCleared) {
-  Home& first = fleet.startWithLease("a");
+TEST(BudgetPartition, overdueProgramOfADeadNodeCountsItsClearedLease) {
+  BudgetNode& first = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Silent;
   CHECK(spend(first, "r1", 400) == ReservationOutcome::Granted);
   fleet.log.fault = FakeFault::None;
-  Home& again = fleet.start("a");
-  fleet.tend(again, kUntilCleared);
+  BudgetNode& again = fleet.start("a");
+  fleet.maintainLeaseFor(again, kUntilCleared);
   for (int number = 0; number < 30; ++number) {
     fleet.spend(again, "s" + std::to_string(number), "program", 50, 1000, Duration::zero());
   }
@@ -181,17 +182,17 @@
 }
 
 TEST(BudgetPartition, allPowerLostTwiceAmidOutagesKeepsTheBudget) {
-  for (int life = 0; life < 2; ++life) {
-    Home& home = fleet.startWithLease("a");
+  for (int restart = 0; restart < 2; ++restart) {
+    BudgetNode& home = fleet.startWithLease("a");
     fleet.log.fault = FakeFault::Silent;
     for (int number = 0; number < 30; ++number) {
-      fleet.spend(home, "r" + std::to_string(life) + "-" + std::to_string(number), "program", 50,
+      fleet.spend(home, "r" + std::to_string(restart) + "-" + std::to_string(number), "program", 50,
                   1000, kTimeLeft);
     }
     fleet.kill("a");
     fleet.log.fault = FakeFault::None;
   }
-  Home& last = fleet.startWithLease("a");
+  BudgetNode& last = fleet.startWithLease("a");
   for (int number = 0; number < 30; ++number) {
     fleet.spend(last, "s" + std::to_string(number), "program", 50, 1000, kTimeLeft);
   }
@@ -199,9 +200,9 @@
 }
 
 TEST(BudgetPartition, aHomeThatIsCutOffAndTheNextOneKeepTheBudgetTogether) {
-  Home& first = fleet.startWithLease("a");
-  first.way.cut = true;
-  Home& second = fleet.startWithLease("b");
+  BudgetNode& first = fleet.startWithLease("a");
+  first.storeLink.cut = true;
+  BudgetNode& second = fleet.startWithLease("b");
   for (int number = 0; number < 30; ++number) {
     fleet.spend(first, "r" + std::to_string(number), "program", 50, 1000, kTimeLeft);
     fleet.spend(second, "s" + std::to_string(number), "program", 50, 1000, kTimeLeft);
@@ -210,39 +211,40 @@
   CHECK(fleet.handedOut["program"] >= 900);
 }
 
-TEST(BudgetPartition, nothingIsSpentUnderALeaseThatWasNotRenewedForLong) {
-  Home& home = fleet.startWithLease("a");
-  home.way.cut = true;
+TEST(BudgetPartition, nothingIsGrantedUnderAnExpiredLease) {
+  BudgetNode& home = fleet.startWithLease("a");
+  home.storeLink.cut = true;
   fleet.timers.advance(BudgetLeaseKnobs{}.validity);
   CHECK_FALSE(home.partition.holdsLease());
   CHECK(spend(home, "r1", 50) == ReservationOutcome::Unavailable);
 }
 
-TEST(BudgetPartition, aHomeWhoseLeaseOthersEndedTakesANewOneWhenTheirsIsCleared) {
-  Home& first = fleet.startWithLease("a");
-  first.way.cut = true;
-  Home& second = fleet.start("b");
-  fleet.tend(second, BudgetLeaseKnobs{}.expiry + kUntilCleared + seconds(3));
+TEST(BudgetPartition, nodeWhoseLeaseOthersEndedAcquiresANewOneWhenASlotIsFree) {
+  BudgetNode& first = fleet.startWithLease("a");
+  first.storeLink.cut = true;
+  BudgetNode& second = fleet.start("b");
+  fleet.maintainLeaseFor(second, BudgetLeaseKnobs{}.expiry + kUntilCleared + seconds(3));
   CHECK_TRUE(second.partition.holdsLease());
-  first.way.cut = false;
+  first.storeLink.cut = false;
   fleet.timers.advance(seconds(2));
-  fleet.tend(first, seconds(3));
+  fleet.maintainLeaseFor(first, seconds(3));
   CHECK_FALSE(first.partition.holdsLease());
   second.partition.releaseLease();
   fleet.timers.advance(seconds(1));
-  fleet.tend(first, seconds(4));
+  fleet.maintainLeaseFor(first, seconds(4));
   CHECK(first.partition.heldLeaseSlot() == BudgetLeaseSlot::Primary);
 }
 
 TEST(BudgetPartition, ofThreeHomesThatTakeALeaseAtOnceOneHoldsIt) {
-  std::vector<Home*> homes{&fleet.start("a"), &fleet.start("b"), &fleet.start("c")};
-  for (Home* const home : homes) {
+  std::vector<BudgetNode*> homes{&fleet.start("a"), &fleet.start("b"), &fleet.start("c")};
+  for (BudgetNode* const home : homes) {
     home->partition.maintainLease();
   }
   fleet.timers.advance(seconds(1));
   const auto holdersOf = [&](std::optional<BudgetLeaseSlot> slot) {
-    return std::count_if(homes.begin(), homes.end(),
-                         [&](const Home* home) { return home->partition.heldLeaseSlot() == slot; });
+    return std::count_if(homes.begin(), homes.end(), [&](const BudgetNode* home) {
+      return home->partition.heldLeaseSlot() == slot;
+    });
   };
   LONGS_EQUAL(1, holdersOf(BudgetLeaseSlot::Primary));
   LONGS_EQUAL(2, holdersOf(std::nullopt));
@@ -250,8 +252,8 @@
 
 TEST(BudgetPartition, aRestartedHomeHoldsASecondaryLeaseWithinASecondAndServesAnOutageUnderIt) {
   fleet.startWithLease("a");
-  Home& again = fleet.start("a");
-  fleet.tend(again, seconds(1));
+  BudgetNode& again = fleet.start("a");
+  fleet.maintainLeaseFor(again, seconds(1));
   CHECK(again.partition.heldLeaseSlot() == BudgetLeaseSlot::Secondary);
   fleet.log.fault = FakeFault::Silent;
   CHECK(spend(again, "r1", 100) == ReservationOutcome::Granted);
@@ -262,24 +264,24 @@
   LONGS_EQUAL(150, fleet.handedOut["program"]);
 }
 
-// Else two dead leases would count together after a further fault, and turns that go on would find
-// no room.
+// Otherwise two dead leases would count together after a further failure, and running programs
+// would be refused.
 TEST(BudgetPartition, theNextHomeHasNoLeaseWhileADeadOnesIsHeldAndASecondaryOneOnceItHasEnded) {
   fleet.startWithLease("a");
   fleet.kill("a");
-  Home& next = fleet.start("b");
-  fleet.tend(next, BudgetLeaseKnobs{}.expiry - seconds(2));
+  BudgetNode& next = fleet.start("b");
+  fleet.maintainLeaseFor(next, BudgetLeaseKnobs{}.expiry - seconds(2));
   CHECK_FALSE(next.partition.holdsLease());
-  fleet.tend(next, seconds(4));
+  fleet.maintainLeaseFor(next, seconds(4));
   CHECK(next.partition.heldLeaseSlot() == BudgetLeaseSlot::Secondary);
 }
 
 TEST(BudgetPartition, aSecondaryLeaseMovesUpWithoutAGapWhenTheDeadOneIsCleared) {
   fleet.startWithLease("a");
-  Home& again = fleet.start("a");
-  fleet.tend(again, seconds(1));
+  BudgetNode& again = fleet.start("a");
+  fleet.maintainLeaseFor(again, seconds(1));
   for (int second = 0; second < 20; ++second) {
-    fleet.tend(again, seconds(1));
+    fleet.maintainLeaseFor(again, seconds(1));
     CHECK_TRUE(again.partition.holdsLease());
   }
   CHECK(again.partition.heldLeaseSlot() == BudgetLeaseSlot::Primary);
@@ -287,11 +289,12 @@
   CHECK(spend(again, "r1", 600, 1000, "new") == ReservationOutcome::Granted);
 }
 
-TEST(BudgetPartition, whatWasSpentUnderASecondaryLeaseCountsAfterItMovedUp) {
+TEST(BudgetPartition, grantsUnderASecondaryLeaseCountAfterItsPromotion) {
   fleet.startWithLease("a");
-  Home& again = fleet.start("a");
-  fleet.tend(again, seconds(2));
-  // Each 50 ms another program spends: the newest one's grant is not recorded when the lease moves.
+  BudgetNode& again = fleet.start("a");
+  fleet.maintainLeaseFor(again, seconds(2));
+  // Another program spends every 50 ms, so the newest grant is unrecorded when the lease is
+  // promoted.
   std::string program;
   for (int number = 0; again.partition.heldLeaseSlot() != BudgetLeaseSlot::Primary; ++number) {
     CHECK(number < 1000);
@@ -310,43 +313,43 @@
 }
 
 TEST(BudgetPartition, aThirdLifeWithinTheTimeOfClearingHasNoLeaseAndKeepsTheBudget) {
-  for (int life = 0; life < 2; ++life) {
-    Home& home = fleet.start("a");
-    fleet.tend(home, seconds(1));
+  for (int restart = 0; restart < 2; ++restart) {
+    BudgetNode& home = fleet.start("a");
+    fleet.maintainLeaseFor(home, seconds(1));
     CHECK_TRUE(home.partition.holdsLease());
     fleet.log.fault = FakeFault::Silent;
     for (int number = 0; number < 10; ++number) {
-      fleet.spend(home, "r" + std::to_string(life) + "-" + std::to_string(number), "program", 50,
+      fleet.spend(home, "r" + std::to_string(restart) + "-" + std::to_string(number), "program", 50,
                   1000, kTimeLeft, milliseconds(100));
     }
     fleet.kill("a");
     fleet.log.fault = FakeFault::None;
   }
   LONGS_EQUAL(600, fleet.handedOut["program"]);
-  Home& third = fleet.start("a");
-  fleet.tend(third, seconds(2));
+  BudgetNode& third = fleet.start("a");
+  fleet.maintainLeaseFor(third, seconds(2));
   CHECK_FALSE(third.partition.holdsLease());
   for (int number = 0; number < 30; ++number) {
     fleet.spend(third, "s" + std::to_string(number), "program", 50, 1000, kTimeLeft);
   }
   CHECK(fleet.handedOut["program"] <= 1050);
   CHECK(fleet.handedOut["program"] >= 950);
-  fleet.tend(third, kUntilCleared);
+  fleet.maintainLeaseFor(third, kUntilCleared);
   CHECK_TRUE(third.partition.holdsLease());
 }
 
-TEST(BudgetPartition, aProgramOfTwoDeadHomesIsCountedEvenAfterTheirLeasesWereCleared) {
-  for (int life = 0; life < 2; ++life) {
-    Home& home = fleet.start("a");
-    fleet.tend(home, seconds(1));
+TEST(BudgetPartition, overdueProgramOfTwoDeadNodesCountsTheirClearedLeases) {
+  for (int restart = 0; restart < 2; ++restart) {
+    BudgetNode& home = fleet.start("a");
+    fleet.maintainLeaseFor(home, seconds(1));
     fleet.log.fault = FakeFault::Silent;
-    fleet.spend(home, "r" + std::to_string(life), "program", life == 0 ? 450 : 150, 1000,
+    fleet.spend(home, "r" + std::to_string(restart), "program", restart == 0 ? 450 : 150, 1000,
                 kTimeLeft);
     fleet.log.fault = FakeFault::None;
   }
   LONGS_EQUAL(600, fleet.handedOut["program"]);
-  Home& third = fleet.start("a");
-  fleet.tend(third, kUntilCleared + kUntilCleared);
+  BudgetNode& third = fleet.start("a");
+  fleet.maintainLeaseFor(third, kUntilCleared + kUntilCleared);
   CHECK(third.partition.heldLeaseSlot() == BudgetLeaseSlot::Primary);
   for (int number = 0; number < 30; ++number) {
     fleet.spend(third, "s" + std::to_string(number), "program", 50, 1000, Duration::zero());
@@ -354,17 +357,16 @@
   CHECK(fleet.handedOut["program"] <= 1050);
 }
 
-// The holder of the secondary lease does not know of the one that took the primary slot before it
-// could move up: that one counts the secondary lease's whole share, and each other home counts
-// both.
-TEST(BudgetPartition, twoLiveHoldersThatAreCutOffSpendWithinTheBudget) {
+// The holder of the secondary lease does not know that another node took the primary slot first.
+// The new holder counts the whole secondary share, and all other nodes count both.
+TEST(BudgetPartition, twoIsolatedLeaseHoldersStayWithinTheBudget) {
   fleet.startWithLease("a");
-  Home& again = fleet.start("a");
-  fleet.tend(again, seconds(2));
+  BudgetNode& again = fleet.start("a");
+  fleet.maintainLeaseFor(again, seconds(2));
   CHECK(again.partition.heldLeaseSlot() == BudgetLeaseSlot::Secondary);
   spend(again, "r0", 400);
   fleet.timers.advance(seconds(1));
-  // The dead one's lease is cleared, and another home's record enters the slot first.
+  // The dead node's lease is cleared, and another node's record takes the slot first.
   std::vector<std::string>& log = fleet.log.logs[{"budgets", 0}];
   std::string first;
   for (const std::string& record : log) {
@@ -374,13 +376,13 @@
     }
   }
   log.push_back(encodeFact(BudgetLease{first, "a", BudgetLeaseState::Cleared, 9}));
-  Home& other = fleet.startWithLease("c");
+  BudgetNode& other = fleet.startWithLease("c");
   CHECK(other.partition.heldLeaseSlot() == BudgetLeaseSlot::Primary);
-  fleet.tend(again, seconds(8));
+  fleet.maintainLeaseFor(again, seconds(8));
   CHECK(again.partition.heldLeaseSlot() == BudgetLeaseSlot::Secondary);
-  fleet.tend(other, seconds(2));
-  again.way.cut = true;
-  other.way.cut = true;
+  fleet.maintainLeaseFor(other, seconds(2));
+  again.storeLink.cut = true;
+  other.storeLink.cut = true;
   for (int number = 0; number < 30; ++number) {
     fleet.spend(again, "s" + std::to_string(number), "program", 50, 1000, kTimeLeft,
                 milliseconds(50));
@@ -391,31 +393,31 @@
 }
 
 TEST(BudgetPartition, aLeaseThatWasGivenBackIsNotCounted) {
-  Home& first = fleet.startWithLease("a");
+  BudgetNode& first = fleet.startWithLease("a");
   spend(first, "r1", 300);
   fleet.timers.advance(seconds(1));
   first.partition.releaseLease();
   fleet.timers.advance(seconds(1));
   CHECK_FALSE(first.partition.holdsLease());
-  Home& second = fleet.startWithLease("b");
+  BudgetNode& second = fleet.startWithLease("b");
   CHECK(fleet.spend(second, "r2", "new", 600, 1000, kTimeLeft) == ReservationOutcome::Granted);
   CHECK(fleet.spend(second, "r3", "new", 400, 1000, kTimeLeft) == ReservationOutcome::Granted);
 }
 
-TEST(BudgetPartition, aLeaseIsGivenBackOnlyAfterAllWasRecorded) {
-  Home& home = fleet.startWithLease("a");
+TEST(BudgetPartition, leaseIsReleasedOnlyAfterAllGrantsAreRecorded) {
+  BudgetNode& home = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Busy;
   spend(home, "r1", 300);
   home.partition.releaseLease();
   CHECK_FALSE(home.partition.holdsLease());
   fleet.timers.advance(seconds(1));
-  home.way.cut = true;
+  home.storeLink.cut = true;
   fleet.log.fault = FakeFault::None;
-  Home& next = fleet.start("b");
-  // Until it is given back, it counts.
+  BudgetNode& next = fleet.start("b");
+  // The lease counts until it is released.
   spend(next, "r2", 600);
   CHECK(spend(next, "r3", 100) == ReservationOutcome::Unavailable);
-  home.way.cut = false;
+  home.storeLink.cut = false;
   for (int tick = 0; tick < 20; ++tick) {
     home.partition.releaseLease();
     fleet.timers.advance(milliseconds(200));
@@ -425,25 +427,25 @@
   CHECK(fleet.spend(next, "r5", "new", 400, 1000, kTimeLeft) == ReservationOutcome::Granted);
 }
 
-// What was spent under the lease is recorded behind the reservations, and so is its end: between
-// append and decision the next home reads both.
-TEST(BudgetPartition, aLeaseThatIsGivenBackBehindAReservationCountsForIt) {
+// The grants under the lease and its release are recorded after the reservation. The next
+// coordinator reads both between its append and its decision.
+TEST(BudgetPartition, leaseReleasedAfterAReservationsRecordCountsForIt) {
   constexpr int kRecordsToRead = 2000;
-  Home& first = fleet.startWithLease("a");
+  BudgetNode& first = fleet.startWithLease("a");
   std::vector<std::string>& log = fleet.log.logs[{"budgets", 0}];
   for (int number = 0; number < kRecordsToRead; ++number) {
     log.push_back(encodeFact(BudgetReservation{"x" + std::to_string(number), "other", 1}));
   }
-  fleet.tend(first, seconds(9));
+  fleet.maintainLeaseFor(first, seconds(9));
   for (int number = 0; number < 4; ++number) {
     fleet.spend(first, "r" + std::to_string(number), "program", 100, 1000, kTimeLeft,
                 Duration::zero());
   }
   LONGS_EQUAL(400, fleet.handedOut["program"]);
-  Home& next = fleet.start("b");
+  BudgetNode& next = fleet.start("b");
   int replies = 0;
   const std::size_t end = log.size();
-  askForTenTurns(next, seconds(1), replies);
+  reserveTenTurns(next, seconds(1), replies);
   fleet.timers.advance(milliseconds(30));
   LONGS_EQUAL(end + 10, log.size());
   LONGS_EQUAL(0, replies);
@@ -453,45 +455,46 @@
   LONGS_EQUAL(10, replies);
   CHECK(fleet.handedOut["program"] <= 1100);
   CHECK(fleet.handedOut["program"] >= 900);
-  // A later reservation stands behind the lease's end, and does not count it.
+  // A later reservation comes after the release, and does not count the lease.
   CHECK(spend(next, "later1", 600, 1000, "new") == ReservationOutcome::Granted);
   CHECK(spend(next, "later2", 400, 1000, "new") == ReservationOutcome::Granted);
 }
 
-// By then a lease may be cleared under which the program spent.
-TEST(BudgetPartition, aReservationWhoseProgramsTimeWasToldLongAgoIsNotDecided) {
-  Home& first = fleet.startWithLease("a");
+// Guards against not counting a lease that was cleared in the meantime and under which the program
+// spent.
+TEST(BudgetPartition, reservationWithAStaleRemainingTimeIsNotDecided) {
+  BudgetNode& first = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Silent;
   CHECK(spend(first, "r1", 450) == ReservationOutcome::Granted);
   fleet.log.fault = FakeFault::None;
-  Home& again = fleet.start("a");
-  Home& slow = fleet.start("b");
-  slow.way.cut = true;
+  BudgetNode& again = fleet.start("a");
+  BudgetNode& slow = fleet.start("b");
+  slow.storeLink.cut = true;
   int replies = 0;
-  askForTenTurns(slow, 2 * kUntilCleared, replies);
-  fleet.tend(again, kUntilCleared);
+  reserveTenTurns(slow, 2 * kUntilCleared, replies);
+  fleet.maintainLeaseFor(again, kUntilCleared);
   again.partition.releaseLease();
   fleet.timers.advance(seconds(1));
   LONGS_EQUAL(0, replies);
-  slow.way.cut = false;
+  slow.storeLink.cut = false;
   fleet.timers.advance(kUntilCleared);
   LONGS_EQUAL(10, replies);
   LONGS_EQUAL(450, fleet.handedOut["program"]);
   LONGS_EQUAL(10, slow.partition.counters().decidedTooLate);
 }
 
-TEST(BudgetPartition, longProgramsAndThoseThatDoNotTellTheirTimeWaitForTheLog) {
-  Home& home = fleet.startWithLease("a");
+TEST(BudgetPartition, leaseIsNotUsedForLongProgramsOrAnUnknownRemainingTime) {
+  BudgetNode& home = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Silent;
   CHECK(fleet.spend(home, "r1", "long", 50, 1000, seconds(11)) == ReservationOutcome::Unavailable);
   CHECK(fleet.spend(home, "r2", "untold", 50, 1000, {}) == ReservationOutcome::Unavailable);
 }
 
-TEST(BudgetPartition, leasesCanBeSwitchedOff) {
+TEST(BudgetPartition, noLeaseIsAcquiredWhenLeasesAreDisabled) {
   BudgetPartitionKnobs knobs;
   knobs.leases.enabled = false;
   BudgetFleet without(knobs);
-  Home& home = without.startWithLease("a");
+  BudgetNode& home = without.startWithLease("a");
   CHECK_FALSE(home.partition.holdsLease());
   LONGS_EQUAL(0, without.log.appends);
 }
--- a/tests/ledger/budget_random_test.cpp
+++ b/tests/ledger/budget_random_test.cpp
@@ -1,5 +1,5 @@
-// Random days of homes, outages, kills and programs: an outside count of the tokens handed out
-// never exceeds a program's budget and one turn, its largest.
+// Random outages, restarts and requests: the tokens granted to a program never exceed its budget by
+// more than its largest turn.
 #include <algorithm>
 #include <array>
 #include <random>
@@ -18,29 +18,30 @@
 
 constexpr std::uint64_t kBudget = 600;
 constexpr std::uint64_t kTurn = 60;
-/// Larger than a lease's share, and within what it allows for a single turn.
+/// Exceeds a lease's share but not its single-turn share.
 constexpr std::uint64_t kLargeTurn = 400;
-/// Of a secondary lease: the largest single turn that note 0011 proves.
+/// Shares of a secondary lease with the largest single turn proved safe in note 0011.
 constexpr LeaseShares kLargerShares{0.3, 0.45};
 constexpr int kSteps = 600;
 constexpr int kSeeds = 400;
 
-/// One seeded day on which every home may be asked at any moment, whoever is the partition's home.
-class RandomDay {
+/// A seeded run in which any node may be called at any time, whether or not it is the partition's
+/// coordinator.
+class RandomRun {
  public:
-  /// \param knobsOfB of home "b"; the others have `knobs`.
-  RandomDay(std::uint64_t seed, const BudgetPartitionKnobs& knobs,
+  /// \param knobsOfB settings of node "b"; the others use `knobs`.
+  RandomRun(std::uint64_t seed, const BudgetPartitionKnobs& knobs,
             const BudgetPartitionKnobs& knobsOfB)
       : random_(seed), fleet_(knobs) {
     fleet_.knobsOf["b"] = knobsOfB;
     for (const char* holder : kHolders) {
-      lives_[holder] = &fleet_.start(holder);
+      processes_[holder] = &fleet_.start(holder);
     }
   }
-  /// \return tokens that were handed out above what the rule allows, by the worst program.
+  /// \return the most tokens by which a program exceeded its budget and its largest turn.
   std::uint64_t excess() {
     for (int step = 0; step < kSteps; ++step) {
-      play();
+      runStep();
     }
     std::uint64_t worst = 0;
     for (const auto& [program, tokens] : fleet_.handedOut) {
@@ -54,46 +55,46 @@
   static constexpr std::array<const char*, 3> kHolders{"a", "b", "c"};
 
   std::uint64_t draw(std::uint64_t below) { return random_() % below; }
-  Home& anyHome() { return *lives_[kHolders[draw(kHolders.size())]]; }
-
-  void play() {
-    const std::uint64_t what = draw(81);
-    if (what < 46) {
-      askForTurns();
-    } else if (what < 70) {
-      tend();
-    } else if (what < 73) {
+  BudgetNode& randomNode() { return *processes_[kHolders[draw(kHolders.size())]]; }
+
+  void runStep() {
+    const std::uint64_t action = draw(81);
+    if (action < 46) {
+      reserveTurns();
+    } else if (action < 70) {
+      maintainOrRelease();
+    } else if (action < 73) {
       fleet_.log.fault =
           std::array{FakeFault::Silent, FakeFault::Busy, FakeFault::LostReply}[draw(3)];
-    } else if (what < 76) {
+    } else if (action < 76) {
       fleet_.log.fault = FakeFault::None;
-    } else if (what < 77) {
-      anyHome().way.cut = draw(2) == 0;
-    } else if (what < 79) {
+    } else if (action < 77) {
+      randomNode().storeLink.cut = draw(2) == 0;
+    } else if (action < 79) {
       restart(kHolders[draw(kHolders.size())]);
-    } else if (what < 80) {
+    } else if (action < 80) {
       killAllBeforeAnOutage();
     } else {
       fleet_.timers.advance(seconds(1 + static_cast<Duration::rep>(draw(15))));
     }
   }
 
-  void restart(const char* holder) { lives_[holder] = &fleet_.start(holder); }
+  void restart(const char* holder) { processes_[holder] = &fleet_.start(holder); }
 
-  /// All processes die and start anew; most of them tend their leases before the store goes away.
+  /// Restarts all nodes, and maintains most leases before the store becomes unavailable.
   void killAllBeforeAnOutage() {
     fleet_.log.fault = FakeFault::None;
     for (const char* const holder : kHolders) {
       restart(holder);
     }
     for (std::uint64_t tick = 0; tick < 2 * kHolders.size(); ++tick) {
-      tend();
+      maintainOrRelease();
     }
     fleet_.log.fault = FakeFault::Silent;
   }
 
-  void tend() {
-    Home& home = anyHome();
+  void maintainOrRelease() {
+    BudgetNode& home = randomNode();
     if (draw(10) == 0) {
       home.partition.releaseLease();
     } else {
@@ -102,23 +103,23 @@
     fleet_.timers.advance(milliseconds(static_cast<Duration::rep>(200 + draw(900))));
   }
 
-  /// A program asks some turns close together, as parallel helpers do.
-  void askForTurns() {
+  /// Reserves several turns of one program in quick succession, like parallel requests.
+  void reserveTurns() {
     constexpr Duration kBetweenPrograms = seconds(3);
     const auto newest =
         static_cast<std::uint64_t>(fleet_.timers.now.time_since_epoch() / kBetweenPrograms);
     const std::uint64_t number = newest - draw(5);
     for (std::uint64_t turns = 1 + draw(6); turns > 0; --turns) {
-      askForATurn(number);
+      reserveTurn(number);
     }
   }
 
-  /// Programs loop: each should be over 6 s after its first turn, and goes on all the same.
-  void askForATurn(std::uint64_t number) {
+  /// Reserves a turn. A program is overdue 6 s after its first turn, but continues.
+  void reserveTurn(std::uint64_t number) {
     const std::string program = "p" + std::to_string(number);
-    const auto [finish, isNew] = finishes_.try_emplace(program, fleet_.timers.now + seconds(6));
-    const Duration left = std::max(Duration::zero(), finish->second - fleet_.timers.now);
-    Home& home = anyHome();
+    const auto [deadline, isNew] = deadlines_.try_emplace(program, fleet_.timers.now + seconds(6));
+    const Duration left = std::max(Duration::zero(), deadline->second - fleet_.timers.now);
+    BudgetNode& home = randomNode();
     const std::string request = "r" + std::to_string(++requests_);
     const bool hasLargeTurns = number % 4 == 0;
     const std::uint64_t turn = hasLargeTurns && draw(3) == 0 ? kLargeTurn : kTurn;
@@ -138,69 +139,69 @@
 
   std::mt19937_64 random_;
   BudgetFleet fleet_;
-  std::map<std::string, Home*> lives_;
-  std::map<std::string, Instant> finishes_;
+  std::map<std::string, BudgetNode*> processes_;
+  std::map<std::string, Instant> deadlines_;
   std::map<std::string, std::uint64_t> largestTurns_;  ///< Granted, by program.
   int requests_ = 0;
 };
 
-/// \return the first seed whose day breaks the rule; 0: none.
-std::uint64_t firstBrokenSeed(const BudgetPartitionKnobs& knobs,
-                              const BudgetPartitionKnobs& knobsOfB) {
+/// \return the first seed whose run exceeds a budget; 0: none.
+std::uint64_t firstViolatingSeed(const BudgetPartitionKnobs& knobs,
+                                 const BudgetPartitionKnobs& knobsOfB) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    if (RandomDay(seed, knobs, knobsOfB).excess() > 0) {
+    if (RandomRun(seed, knobs, knobsOfB).excess() > 0) {
       return seed;
     }
   }
   return 0;
 }
 
-std::uint64_t firstBrokenSeed(const BudgetPartitionKnobs& knobs) {
-  return firstBrokenSeed(knobs, knobs);
+std::uint64_t firstViolatingSeed(const BudgetPartitionKnobs& knobs) {
+  return firstViolatingSeed(knobs, knobs);
 }
 
 }  // namespace
 
 TEST_GROUP(BudgetRandom) { BudgetPartitionKnobs knobs; };
 
-TEST(BudgetRandom, noDayBreaksTheBudget) { LONGS_EQUAL(0, firstBrokenSeed(knobs)); }
+TEST(BudgetRandom, noDayBreaksTheBudget) { LONGS_EQUAL(0, firstViolatingSeed(knobs)); }
 
-TEST(BudgetRandom, noDayBreaksTheBudgetWithALargerSecondaryShare) {
+TEST(BudgetRandom, randomRunsStayWithinTheBudgetWithALargerSecondaryShare) {
   knobs.leases.secondary = kLargerShares;
-  LONGS_EQUAL(0, firstBrokenSeed(knobs));
+  LONGS_EQUAL(0, firstViolatingSeed(knobs));
 }
 
-// Each of these must show, or the test above could not fail.
-TEST(BudgetRandom, findsAHomeThatClearsLeasesAtOnceInAFleetThatThenForgetsThem) {
+// Guard against an ineffective random test: each of these faults must be detected.
+TEST(BudgetRandom, detectsANodeThatClearsLeasesTooEarly) {
   knobs.leases.retention = Duration::zero();
-  BudgetPartitionKnobs hasty = knobs;
-  hasty.leases.maxDecisionDelay =
-      -knobs.leases.maxRemainingProgramTime;  // It decides nothing by the log.
-  CHECK(firstBrokenSeed(knobs, hasty) != 0);
+  BudgetPartitionKnobs faulty = knobs;
+  faulty.leases.maxDecisionDelay =
+      -knobs.leases.maxRemainingProgramTime;  // It grants nothing by the log.
+  CHECK(firstViolatingSeed(knobs, faulty) != 0);
 }
 
-TEST(BudgetRandom, findsAHomeThatDoesNotCountTheLeasesOfOthers) {
-  BudgetPartitionKnobs careless = knobs;
-  careless.leases.primary = {};
-  careless.leases.secondary = {};
-  CHECK(firstBrokenSeed(knobs, careless) != 0);
+TEST(BudgetRandom, detectsANodeThatDoesNotCountLeasesOfOthers) {
+  BudgetPartitionKnobs faulty = knobs;
+  faulty.leases.primary = {};
+  faulty.leases.secondary = {};
+  CHECK(firstViolatingSeed(knobs, faulty) != 0);
 }
 
-TEST(BudgetRandom, findsAHomeThatDoesNotCountTheSecondaryLeasesOfOthers) {
+TEST(BudgetRandom, detectsANodeThatDoesNotCountSecondaryLeasesOfOthers) {
   knobs.leases.secondary = kLargerShares;
-  BudgetPartitionKnobs careless = knobs;
-  careless.leases.secondary = {};
-  CHECK(firstBrokenSeed(knobs, careless) != 0);
+  BudgetPartitionKnobs faulty = knobs;
+  faulty.leases.secondary = {};
+  CHECK(firstViolatingSeed(knobs, faulty) != 0);
 }
 
-TEST(BudgetRandom, findsAHomeThatSpendsMoreUnderASecondaryLeaseThanOthersCount) {
-  BudgetPartitionKnobs greedy = knobs;
-  greedy.leases.secondary.share = 0.95;
-  CHECK(firstBrokenSeed(knobs, greedy) != 0);
+TEST(BudgetRandom, detectsANodeThatExceedsItsSecondaryLeaseShare) {
+  BudgetPartitionKnobs faulty = knobs;
+  faulty.leases.secondary.share = 0.95;
+  CHECK(firstViolatingSeed(knobs, faulty) != 0);
 }
 
-TEST(BudgetRandom, findsAHomeThatSpendsMoreAheadThanOthersCount) {
-  BudgetPartitionKnobs greedy = knobs;
-  greedy.leases.primary.share = 0.95;
-  CHECK(firstBrokenSeed(knobs, greedy) != 0);
+TEST(BudgetRandom, detectsANodeThatExceedsItsPrimaryLeaseShare) {
+  BudgetPartitionKnobs faulty = knobs;
+  faulty.leases.primary.share = 0.95;
+  CHECK(firstViolatingSeed(knobs, faulty) != 0);
 }
--- a/tests/ledger/confined_turns_test.cpp
+++ b/tests/ledger/confined_turns_test.cpp
@@ -1,5 +1,5 @@
-// Turns whose text may be read in some regions alone, on nodes in three regions; and the search of
-// turns over regions.
+// Guards against reading or storing confined turns outside their regions, and against slow searches
+// across regions.
 #include <optional>
 
 #include "ledger_fleet.h"
@@ -57,7 +57,7 @@
   }
 };
 
-TEST(ConfinedTurns, areStoredAndFoundByNodesOfTheirRegionsAlone) {
+TEST(ConfinedTurns, areStoredAndFoundOnlyByNodesOfTheirRegions) {
   CHECK_TRUE(store(kEast, "t1", west));
   CHECK_TRUE(store(kWest, "t2", west));
   CHECK_TRUE(finds(kEast, "t1", west));
@@ -69,10 +69,10 @@
   }
 }
 
-TEST(ConfinedTurns, standInPartitionsThatNobodyReadsForOtherTurns) {
+TEST(ConfinedTurns, areStoredInPartitionsThatOtherTurnsDoNotNeed) {
   CHECK_TRUE(store(kWest, "confined", west));
   CHECK_TRUE(store(kWest, "free", {}));
-  // All of the west is lost: the free turn is read from the store by a node elsewhere.
+  // The whole west region is lost: a node elsewhere reads the unconfined turn from the store.
   kill(kWest, 4);
   CHECK_TRUE(finds(kEast, "free", {}));
   for (const auto& [partition, records] : log.logs) {
@@ -83,7 +83,7 @@
   }
 }
 
-TEST(ConfinedTurns, aLostRegionMakesThemUnavailableRatherThanUnknownOrReadElsewhere) {
+TEST(ConfinedTurns, areUnavailableRatherThanUnknownWhenTheirRegionIsLost) {
   CHECK_TRUE(store(kWest, "t1", west));
   kill(kWest, 4);
   log.readsOf.clear();
@@ -94,7 +94,7 @@
   }
 }
 
-TEST(ConfinedTurns, theNodeThatTheClientConnectedToAppendsByItselfWhereNoHomeIsLeft) {
+TEST(ConfinedTurns, receivingNodeAppendsDirectlyWhenNoCoordinatorIsLeft) {
   kill(kWest, 4);
   CHECK_TRUE(store(kEast, "t1", west));
   LONGS_EQUAL(0, callsElsewhere());
@@ -103,7 +103,7 @@
   CHECK_TRUE(finds(kWest, "t1", west));
 }
 
-TEST(ConfinedTurns, areFoundAfterTheirLimitHasChangedOrGone) {
+TEST(ConfinedTurns, areFoundAfterTheirZoneRestrictionChangedOrWasRemoved) {
   CHECK_TRUE(store(kWest, "confined", west));
   CHECK_TRUE(store(kNorth, "free", {}));
   CHECK_TRUE(finds(kEast, "confined", {}));
@@ -113,7 +113,7 @@
   CHECK_TRUE(std::holds_alternative<UnknownTurn>(find(kEast, "never", {})));
 }
 
-TEST(ConfinedTurns, aTurnOfAnotherRegionIsFoundWithinARoundTripAfterTheNearOnes) {
+TEST(ConfinedTurns, otherRegionsAreSearchedInParallel) {
   CHECK_TRUE(store(kOtherWest, "near", {}));
   CHECK_TRUE(store(kEast, "far", {}));
   fleet.callsTo.clear();
@@ -125,12 +125,12 @@
                                        [&](const HistoryAnswer&) { foundAt = timers.now; });
   timers.advance(seconds(2));
   CHECK_TRUE(foundAt.has_value());
-  // Own zone twice, the region's other zone, then all others at once: 2 ms for each call, and at
-  // most two reads of the store, of 5 ms each, at a home that has not read the partition yet.
+  // The search has four steps: both partitions of the own zone, the other zone of the region, then
+  // all others in parallel. Each takes 2 ms for the call and up to two store reads of 5 ms.
   CHECK(*foundAt - asked < milliseconds(60));
 }
 
-TEST(ConfinedTurns, programsNearARegionThatIsCutOffGoOn) {
+TEST(ConfinedTurns, programsOutsideAnUnreachableRegionContinue) {
   CHECK_TRUE(store(kWest, "t1", {}));
   kill(kEast, 2);
   kill(kNorth, 2);
@@ -139,7 +139,7 @@
   CHECK_TRUE(finds(kWest, "t2", {}));
 }
 
-TEST(ConfinedTurns, goToHomesByTheRegionsOfSettingsReadAnew) {
+TEST(ConfinedTurns, areRoutedByReloadedRegionSettings) {
   fleet.nodes.erase("node2");
   fleet.nodes.erase("node3");
   CHECK_TRUE(store(kEast, "t1", {"na"}));
--- a/tests/ledger/facts_test.cpp
+++ b/tests/ledger/facts_test.cpp
@@ -1,4 +1,4 @@
-// Facts keep their fields; broken bytes are found.
+// Guards the encoding of facts, and the rejection of corrupt records.
 #include "ledger/facts.h"
 
 #include <CppUTest/TestHarness.h>
@@ -8,7 +8,7 @@
 
 TEST_GROUP(Facts){};
 
-TEST(Facts, keepTheirFields) {
+TEST(Facts, fieldsSurviveEncodingAndDecoding) {
   const auto turn = decodeFact(encodeFact(CompletedTurn{"t2", "t1", "a\nb\n"}));
   STRCMP_EQUAL("t1", std::get<CompletedTurn>(valueOf(turn)).base.c_str());
   STRCMP_EQUAL("a\nb\n", std::get<CompletedTurn>(valueOf(turn)).history.c_str());
@@ -30,7 +30,7 @@
   CHECK(std::get<CompletedTurn>(valueOf(turn)).base.empty());
 }
 
-TEST(Facts, brokenBytesAreNoFact) {
+TEST(Facts, corruptBytesAreRejected) {
   const std::string whole = encodeFact(CompletedTurn{"t2", "t1", "text"});
   for (std::size_t length = 0; length < whole.size(); length += 2) {
     CHECK_FALSE(succeeded(decodeFact(whole.substr(0, length))));
--- a/tests/ledger/home_selector_test.cpp
+++ b/tests/ledger/home_selector_test.cpp
@@ -1,4 +1,5 @@
-// Which nodes are asked for a partition: agreement, little movement, weights, suspects, zones.
+// Guards the selection of coordinators: determinism, few moved partitions, weights, suspicion and
+// zones.
 #include "ledger/home_selector.h"
 
 #include <CppUTest/TestHarness.h>
@@ -24,7 +25,7 @@
   }
 };
 
-TEST(HomeSelector, theOrderOfCandidatesDoesNotMatter) {
+TEST(HomeSelector, selectionDoesNotDependOnTheOrderOfCandidates) {
   const auto before = selector.homesOf({"topic", 5}, "", nodes, now);
   std::reverse(nodes.begin(), nodes.end());
   CHECK(before == selector.homesOf({"topic", 5}, "", nodes, now));
@@ -32,7 +33,7 @@
   CHECK(before[0] != before[1]);
 }
 
-TEST(HomeSelector, aNodeThatGoesMovesOnlyItsOwnPartitions) {
+TEST(HomeSelector, removedNodeMovesOnlyItsOwnPartitions) {
   std::vector<std::string> before;
   for (std::uint32_t partition = 0; partition < 200; ++partition) {
     before.push_back(homeOf(partition));
@@ -46,17 +47,17 @@
   }
 }
 
-TEST(HomeSelector, aStrongerNodeIsHomeOfMorePartitions) {
+TEST(HomeSelector, partitionsAreProportionalToCapacity) {
   nodes[3].capacity = 8.0;
   int strong = 0;
   for (std::uint32_t partition = 0; partition < 1000; ++partition) {
     strong += homeOf(partition) == nodes[3].address ? 1 : 0;
   }
-  // 8 of 19 shares.
+  // Expected: 8/19 of the partitions.
   CHECK(strong > 360 && strong < 480);
 }
 
-TEST(HomeSelector, aSuspectIsAskedLastUntilTheSuspicionEnds) {
+TEST(HomeSelector, suspectedNodeIsRankedLastUntilTheSuspicionEnds) {
   const std::string home = homeOf(7);
   selector.suspect(home, now);
   CHECK(homeOf(7) != home);
@@ -67,7 +68,7 @@
   STRCMP_EQUAL(home.c_str(), homeOf(7).c_str());
 }
 
-TEST(HomeSelector, aZonesPartitionsStayInItWhileItHasNodes) {
+TEST(HomeSelector, partitionsStayInTheirZoneWhileItHasNodes) {
   std::set<std::string> homes;
   for (std::uint32_t partition = 0; partition < 50; ++partition) {
     homes.insert(homeOf(partition, "b"));
--- a/tests/ledger/ledger_fleet.h
+++ b/tests/ledger/ledger_fleet.h
@@ -1,4 +1,4 @@
-/// \file Several nodes whose ledger calls go to homes, on one fake store in virtual time.
+/// \file Several nodes with routed ledgers on one fake store in virtual time.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 
 class Fleet;
 
-/// Calls between the nodes of a fleet, 1 ms each way.
+/// Calls between the nodes of a fleet, with a latency of 1 ms each way.
 class FleetPeers final : public LedgerPeers {
  public:
   FleetPeers(Fleet& fleet, std::string own) : fleet_(fleet), own_(std::move(own)) {}
@@ -77,10 +77,10 @@
 
 class Fleet {
  public:
-  /// Nodes of two zones of one region, half of them in each.
+  /// Nodes in two zones of one region, half of them in each.
   Fleet(logstore::FakeLogStore& log, logstore::FakeTimers& timers, int size = 6)
       : Fleet(log, timers, {{"a", "r"}, {"b", "r"}}, size / 2) {}
-  /// \param nodesPerZone numbered zone by zone, in the order of the zones' names.
+  /// \param nodesPerZone nodes are numbered zone by zone, in the order of the zone names.
   Fleet(logstore::FakeLogStore& log, logstore::FakeTimers& timers, const Regions& regions,
         int nodesPerZone)
       : timers(timers) {
@@ -93,12 +93,12 @@
     }
   }
   Node& node(int number) { return *nodes["node" + std::to_string(number)]; }
-  /// \return the homes of the program's budget, first and second.
+  /// \return the first and second coordinator of the program's budget.
   std::vector<std::string> homesOfBudget() {
     return HomeSelector({}).homesOf(LedgerPartitions({}).ofBudget("program"), {},
                                     node(0).peers.candidates(), timers.now);
   }
-  /// \return the number of a node that is not one of them.
+  /// \return the number of a node that is not in the list.
   static int nodeThatIsNoneOf(const std::vector<std::string>& homes) {
     int number = 0;
     while (std::count(homes.begin(), homes.end(), "node" + std::to_string(number)) > 0) {
@@ -110,10 +110,10 @@
   logstore::FakeTimers& timers;
   std::map<std::string, std::unique_ptr<Node>> nodes;
   std::set<std::string> dead;    ///< Refuse connections.
-  std::set<std::string> silent;  ///< Take calls and say nothing.
+  std::set<std::string> silent;  ///< Accept calls and never reply.
   int calls = 0;
-  std::map<std::string, int> callsTo;  ///< Calls that reached a node.
-  bool known = true;                   ///< The nodes have been listed.
+  std::map<std::string, int> callsTo;  ///< Calls received, by node.
+  bool known = true;                   ///< Whether the list of nodes is known.
 };
 
 inline bool FleetPeers::areKnown() const { return fleet_.known; }
--- a/tests/ledger/ledger_message_test.cpp
+++ b/tests/ledger/ledger_message_test.cpp
@@ -1,4 +1,4 @@
-// Ledger calls between nodes as bytes.
+// Guards the wire encoding of ledger calls and replies.
 #include "ledger/ledger_message.h"
 
 #include <CppUTest/TestHarness.h>
@@ -19,7 +19,7 @@
 
 TEST_GROUP(LedgerMessage){};
 
-TEST(LedgerMessage, requestsComeBackAsTheyWere) {
+TEST(LedgerMessage, requestsSurviveEncodingAndDecoding) {
   const auto find = sentAndRead(FindTurnRequest{{"hall-a", 1}, "t1"});
   STRCMP_EQUAL("hall-a", find.placement.zone.c_str());
   LONGS_EQUAL(1, find.placement.choice);
@@ -40,7 +40,7 @@
   LONGS_EQUAL(9, sentAndRead(SettleRequest{{"r", "p", 9}}).settlement.tokens);
 }
 
-TEST(LedgerMessage, repliesComeBackAsTheyWere) {
+TEST(LedgerMessage, repliesSurviveEncodingAndDecoding) {
   LedgerReply reply{LedgerOutcome::BudgetSpent, "base", "history", 42, "why"};
   Result<LedgerReply> read = decodeLedgerReply(encodeLedgerReply(reply));
   CHECK_TRUE(succeeded(read));
@@ -54,7 +54,7 @@
   CHECK_FALSE(valueOf(decodeLedgerReply(encodeLedgerReply(reply))).canDecideReservations);
 }
 
-TEST(LedgerMessage, whyAReservationIsNotDecidedComesBackAsItWas) {
+TEST(LedgerMessage, undecidedReasonSurvivesEncodingAndDecoding) {
   LedgerReply reply;
   reply.undecided = UndecidedReason::UnseenSpending;
   reply.unseenLeases = UnseenSpending::Both;
@@ -65,7 +65,7 @@
   LONGS_EQUAL(600, read.tokensUnseen);
 }
 
-TEST(LedgerMessage, reasonsThatThisVersionDoesNotKnowAreUnknown) {
+TEST(LedgerMessage, unsupportedReasonsDecodeAsUnknown) {
   constexpr auto kOfANewerVersion = static_cast<UndecidedReason>(200);
   LedgerReply reply;
   reply.undecided = kOfANewerVersion;
@@ -73,17 +73,17 @@
   const LedgerReply read = valueOf(decodeLedgerReply(encodeLedgerReply(reply)));
   CHECK(read.undecided == UndecidedReason::Unknown);
   CHECK(read.unseenLeases == UnseenSpending::None);
-  // Fields that an older node does not send are at their defaults.
+  // Fields missing in the message of an older node get their defaults.
   const LedgerReply older = valueOf(decodeLedgerReply(encodeLedgerReply({})));
   CHECK(older.undecided == UndecidedReason::Unknown);
   LONGS_EQUAL(0, older.tokensUnseen);
 }
 
-TEST(LedgerMessage, cutSpoiltAndForeignBytesAreErrors) {
+TEST(LedgerMessage, truncatedCorruptAndForeignBytesAreRejected) {
   const std::string whole = encodeLedgerRequest(StoreTurnRequest{{"z", 0}, {"t", "", "text"}, {}});
   for (std::size_t length = 0; length < whole.size(); ++length) {
     const auto read = decodeLedgerRequest(std::string_view(whole).substr(0, length));
-    // Only bytes that carry nothing may be missing.
+    // Only padding bytes may be missing without an error.
     CHECK(!succeeded(read) || std::get<StoreTurnRequest>(valueOf(read)).record.history == "text");
   }
   CHECK_FALSE(succeeded(decodeLedgerReply(whole)));
--- a/tests/ledger/program_ledger_test.cpp
+++ b/tests/ledger/program_ledger_test.cpp
@@ -1,4 +1,5 @@
-// Histories and budgets over several nodes on one log, with lost answers, silence and restarts.
+// Guards histories and budgets of several nodes on one log against lost replies, outages and
+// restarts.
 #include "ledger/program_ledger.h"
 
 #include <CppUTest/TestHarness.h>
@@ -16,7 +17,7 @@
 
 namespace {
 
-/// One node's ledger on the shared log.
+/// A node with its ledger on the shared log.
 struct Node {
   Node(FakeLogStore& log, FakeTimers& timers, LedgerKnobs knobs)
       : store(
@@ -77,7 +78,7 @@
   }
 };
 
-TEST(ProgramLedger, everyNodeFindsAStoredTurnWithItsChain) {
+TEST(ProgramLedger, everyNodeFindsAStoredTurnWithItsHistory) {
   Node& first = addNode();
   Node& second = addNode();
   CHECK_TRUE(storeTurn(first, "t1", "", "in1 out1\n"));
@@ -86,13 +87,13 @@
   STRCMP_EQUAL("in1 out1\nin2 out2\n", textOf(first, "t2").c_str());
 }
 
-TEST(ProgramLedger, aNodeThatStartsAfterAllOthersHaveEndedFindsTheTurn) {
+TEST(ProgramLedger, newNodeFindsATurnStoredByStoppedNodes) {
   storeTurn(addNode(), "t1", "", "kept");
   nodes.clear();
   STRCMP_EQUAL("kept", textOf(addNode(), "t1").c_str());
 }
 
-TEST(ProgramLedger, saysUnknownOnlyAfterReadingToTheEnd) {
+TEST(ProgramLedger, reportsUnknownTurnOnlyAfterReadingToTheEnd) {
   Node& node = addNode();
   CHECK_TRUE(std::holds_alternative<UnknownTurn>(find(node, "never")));
   log.fault = FakeFault::Silent;
@@ -101,7 +102,7 @@
   CHECK_TRUE(std::holds_alternative<LedgerUnavailable>(find(node, "never")));
 }
 
-TEST(ProgramLedger, aReadUnderWayDoesNotAnswerALaterQuestion) {
+TEST(ProgramLedger, readInProgressDoesNotAnswerALaterLookup) {
   knobs.turnWindow = Duration::zero();
   Node& reader = addNode();
   Node& writer = addNode();
@@ -109,7 +110,7 @@
   std::optional<HistoryAnswer> early;
   reader.ledger.findHistory({"t1"}, [&early](HistoryAnswer answer) { early = std::move(answer); });
   timers.advance(milliseconds(29));
-  // The turn is appended while the first read is on its way, and asked for after that.
+  // The turn is appended while the first read is in flight, and then looked up.
   bool stored = false;
   writer.ledger.storeTurn({"t1", "", {}, "text"}, seconds(2),
                           [&stored](const logstore::StoreResult<Success>&) { stored = true; });
@@ -118,7 +119,7 @@
   STRCMP_EQUAL("text", textOf(reader, "t1").c_str());
 }
 
-TEST(ProgramLedger, aTurnWhoseAnswerWasLostStandsAndIsReadOnce) {
+TEST(ProgramLedger, turnAppendedTwiceAfterALostReplyIsReadOnce) {
   Node& node = addNode();
   log.fault = FakeFault::LostReply;
   bool stored = false;
@@ -133,13 +134,13 @@
   STRCMP_EQUAL("text", textOf(addNode(), "t1").c_str());
 }
 
-TEST(ProgramLedger, aTurnThatCouldNotBeStoredIsReported) {
+TEST(ProgramLedger, failedStoreIsReported) {
   Node& node = addNode();
   log.fault = FakeFault::Silent;
   CHECK_FALSE(storeTurn(node, "t1", "", "text", seconds(1)));
 }
 
-TEST(ProgramLedger, longHistoriesAreKeptInPieces) {
+TEST(ProgramLedger, longHistoriesAreSplitAcrossRecords) {
   knobs.maximumInlineHistoryBytes = 100;
   Node& first = addNode();
   std::string expected;
@@ -168,7 +169,7 @@
   STRCMP_EQUAL((std::string(100, 'x') + "0").c_str(), textOf(writer, "t0").c_str());
 }
 
-TEST(ProgramLedger, aTurnTooLongForARecordIsRejected) {
+TEST(ProgramLedger, turnExceedingTheRecordSizeIsRejected) {
   knobs.maximumRecordBytes = 1000;
   CHECK_FALSE(storeTurn(addNode(), "t1", "", std::string(2000, 'x')));
 }
@@ -182,7 +183,7 @@
   CHECK(reserve(second, "r4", 300, 1000) == ReservationOutcome::Spent);
 }
 
-TEST(ProgramLedger, settlingGivesBackWhatWasNotUsedAtEveryNode) {
+TEST(ProgramLedger, settlementReturnsUnusedTokensAtEveryNode) {
   Node& first = addNode();
   Node& second = addNode();
   reserve(first, "r1", 600, 1000);
@@ -192,7 +193,7 @@
   CHECK(reserve(second, "r3", 600, 1000) == ReservationOutcome::Granted);
 }
 
-TEST(ProgramLedger, budgetsHoldOverARestartOfAllNodes) {
+TEST(ProgramLedger, budgetsSurviveARestartOfAllNodes) {
   reserve(addNode(), "r1", 600, 1000);
   nodes.clear();
   CHECK(reserve(addNode(), "r2", 600, 1000) == ReservationOutcome::Spent);
@@ -212,13 +213,13 @@
   CHECK(outcomes[0] != outcomes[1]);
 }
 
-TEST(ProgramLedger, aReservationWithoutAnAnswerIsNotGranted) {
+TEST(ProgramLedger, reservationWithoutAStoreReplyIsNotGranted) {
   Node& node = addNode();
   log.fault = FakeFault::Silent;
   CHECK(reserve(node, "r1", 100, 1000) == ReservationOutcome::Unavailable);
 }
 
-TEST(ProgramLedger, aRepeatedReservationCountsOnce) {
+TEST(ProgramLedger, repeatedReservationCountsOnce) {
   Node& node = addNode();
   log.fault = FakeFault::LostReply;
   std::optional<ReservationOutcome> outcome;
@@ -231,7 +232,7 @@
   CHECK(reserve(addNode(), "r2", 600, 1000) == ReservationOutcome::Granted);
 }
 
-TEST(ProgramLedger, tellsWhetherTheLogTakesWritesNow) {
+TEST(ProgramLedger, reportsWhetherTheLogAcceptsWrites) {
   Node& node = addNode();
   CHECK(node.ledger.reservationOutlook("program") == ReservationOutlook::Likely);
   log.fault = FakeFault::Busy;
--- a/tests/ledger/refused_reservation_test.cpp
+++ b/tests/ledger/refused_reservation_test.cpp
@@ -1,5 +1,5 @@
-// Reservations that are not decided tell why, with the figures, from the partition to who asked;
-// searches that found nothing tell what could not be read.
+// Guards the reasons and figures reported for undecided reservations, and for lookups that could
+// not read a partition.
 #include <memory>
 #include <optional>
 #include <set>
@@ -25,7 +25,7 @@
 TEST_GROUP(RefusedReservation) {
   BudgetFleet budgets;
 
-  ReservationReply ask(Home & home, const char* request, std::uint64_t tokens,
+  ReservationReply ask(BudgetNode & home, const char* request, std::uint64_t tokens,
                        Duration wait = seconds(2)) {
     auto reply = std::make_shared<std::optional<ReservationReply>>();
     home.partition.reserve({{request, "program", tokens}, 1000, kTimeLeft}, seconds(1),
@@ -38,25 +38,26 @@
   }
 };
 
-TEST(RefusedReservation, tellsWhatWasCountedForTheLeaseOfADeadHome) {
+TEST(RefusedReservation, reportsTokensCountedForTheLeaseOfADeadNode) {
   budgets.startWithLease("a");
   budgets.kill("a");
-  Home& next = budgets.startWithLease("b");
+  BudgetNode& next = budgets.startWithLease("b");
   CHECK(ask(next, "r1", 600).outcome == ReservationOutcome::Granted);
   const ReservationReply reply = ask(next, "r2", 100);
   CHECK(reply.outcome == ReservationOutcome::Unavailable);
   CHECK(reply.reason == UndecidedReason::UnseenSpending);
   CHECK(reply.unseenLeases == UnseenSpending::Primary);
   LONGS_EQUAL(600, reply.tokensUsed);
-  LONGS_EQUAL(600, reply.tokensUnseen);  // A turn of 600 tokens may have run under that lease.
+  LONGS_EQUAL(600,
+              reply.tokensUnseen);  // A turn of 600 tokens may have been granted under that lease.
 }
 
-TEST(RefusedReservation, tellsALeaseThatDoesNotCoverTheTurnFromNoLease) {
-  Home& holder = budgets.startWithLease("a");
-  Home& other = budgets.start("b");
+TEST(RefusedReservation, distinguishesAnInsufficientLeaseFromNoLease) {
+  BudgetNode& holder = budgets.startWithLease("a");
+  BudgetNode& other = budgets.start("b");
   budgets.log.fault = FakeFault::Busy;
-  // Both learn that the store does not answer.
-  for (Home* const home : {&holder, &other}) {
+  // Both nodes detect that the store does not answer.
+  for (BudgetNode* const home : {&holder, &other}) {
     budgets.spend(*home, "r1", "program", 800, 1000, kTimeLeft, milliseconds(150));
   }
   const ReservationReply held = ask(holder, "r3", 800);
@@ -67,22 +68,22 @@
   CHECK(none.reason == UndecidedReason::NoLease);
 }
 
-TEST(RefusedReservation, tellsThatTheStoreDidNotTakeTheRecord) {
-  Home& home = budgets.start("a");
+TEST(RefusedReservation, reportsAFailedAppend) {
+  BudgetNode& home = budgets.start("a");
   budgets.log.fault = FakeFault::Silent;
   const ReservationReply reply = ask(home, "r1", 100);
   CHECK(reply.outcome == ReservationOutcome::Unavailable);
   CHECK(reply.reason == UndecidedReason::AppendFailed);
 }
 
-TEST(RefusedReservation, tellsThatItWasDecidedTooLate) {
-  Home& home = budgets.start("a");
-  home.way.cut = true;
+TEST(RefusedReservation, reportsADecisionMadeTooLate) {
+  BudgetNode& home = budgets.start("a");
+  home.storeLink.cut = true;
   std::optional<ReservationReply> reply;
   home.partition.reserve({{"r1", "program", 100}, 1000, kTimeLeft}, seconds(30),
                          [&reply](const ReservationReply& made) { reply = made; });
   budgets.timers.advance(BudgetLeaseKnobs{}.maxDecisionDelay + seconds(1));
-  home.way.cut = false;
+  home.storeLink.cut = false;
   budgets.timers.advance(seconds(20));
   CHECK_TRUE(reply.has_value());
   CHECK(reply->outcome == ReservationOutcome::Unavailable);
@@ -104,7 +105,7 @@
   }
 };
 
-TEST(RefusedLedgerCall, carriesTheReasonOfTheHomeThatTold) {
+TEST(RefusedLedgerCall, carriesTheReasonGivenByACoordinator) {
   log.fault = FakeFault::Silent;
   const std::vector<std::string> both = fleet.homesOfBudget();
   const int asking = Fleet::nodeThatIsNoneOf(both);
@@ -119,7 +120,7 @@
                textOf(reply.asked).c_str());
 }
 
-TEST(RefusedLedgerCall, tellsThatNobodyAnswered) {
+TEST(RefusedLedgerCall, reportsThatNoNodeReplied) {
   const std::vector<std::string> both = fleet.homesOfBudget();
   const int asking = Fleet::nodeThatIsNoneOf(both);
   log.fault = FakeFault::Silent;
@@ -130,7 +131,7 @@
                   textOf(reply.asked).c_str());
 }
 
-TEST(RefusedLedgerCall, tellsThatTheOtherNodesAreNotKnownYet) {
+TEST(RefusedLedgerCall, reportsThatTheNodeListIsNotKnownYet) {
   fleet.known = false;
   const ReservationReply reply = reserve(0, "r1");
   CHECK(reply.outcome == ReservationOutcome::Unavailable);
@@ -138,7 +139,7 @@
   CHECK_TRUE(reply.asked.empty());
 }
 
-TEST(RefusedLedgerCall, aGrantTellsWhoDecided) {
+TEST(RefusedLedgerCall, grantNamesTheDecidingNode) {
   const std::vector<std::string> both = fleet.homesOfBudget();
   const ReservationReply reply = reserve(Fleet::nodeThatIsNoneOf(both), "r1");
   CHECK(reply.outcome == ReservationOutcome::Granted);
@@ -146,7 +147,7 @@
   STRCMP_EQUAL((both[0] + "/answered").c_str(), textOf(reply.asked).c_str());
 }
 
-TEST(RefusedLedgerCall, anUnreadHistoryTellsEachPartitionAndWhomItAsked) {
+TEST(RefusedLedgerCall, unreadHistoryListsEachPartitionAndTheNodesCalled) {
   log.fault = FakeFault::Silent;
   std::optional<HistoryAnswer> answer;
   fleet.node(0).ledger.findHistory({"t1"},
@@ -154,7 +155,7 @@
   timers.advance(seconds(12));
   CHECK_TRUE(answer.has_value());
   const auto& unavailable = std::get<LedgerUnavailable>(*answer);
-  // Both choices in both zones of the region.
+  // Both partitions in both zones of the region.
   LONGS_EQUAL(4, unavailable.unread.size());
   const LedgerPartitions layout{{}};
   for (std::uint32_t choice = 0; choice < kTurnChoices; ++choice) {
--- a/tests/ledger/routed_ledger_test.cpp
+++ b/tests/ledger/routed_ledger_test.cpp
@@ -1,5 +1,5 @@
-// Several nodes whose ledger calls go to homes: dead, silent and disagreeing homes, a store that
-// refuses some of them, and how many calls the store gets.
+// Guards routed ledger calls against failed coordinators, an unavailable store and nodes that
+// disagree, and against excessive store calls.
 #include "ledger/routed_ledger.h"
 
 #include <memory>
@@ -61,7 +61,7 @@
     timers.advance(wait);
     return *outcome;
   }
-  /// All nodes but one that is asked.
+  /// \return all nodes except `own`.
   std::set<std::string> allBut(const std::string& own) {
     std::set<std::string> others;
     for (const auto& [address, node] : fleet.nodes) {
@@ -72,7 +72,7 @@
   }
 };
 
-TEST(RoutedLedger, everyNodeFindsATurnAlsoThoseOfAnotherZone) {
+TEST(RoutedLedger, everyNodeOfEveryZoneFindsATurn) {
   CHECK_TRUE(storeTurn(0, "t1", "", "in1 out1\n"));
   STRCMP_EQUAL("in1 out1\n", textOf(2, "t1").c_str());
   STRCMP_EQUAL("in1 out1\n", textOf(4, "t1").c_str());
@@ -81,7 +81,7 @@
   CHECK_TRUE(std::holds_alternative<UnknownTurn>(find(1, "never")));
 }
 
-TEST(RoutedLedger, longHistoriesGoOverPiecesInSeveralPartitions) {
+TEST(RoutedLedger, longHistoriesSpanSeveralPartitions) {
   std::string expected;
   std::string previous;
   for (int turn = 0; turn < 9; ++turn) {
@@ -94,7 +94,7 @@
   CHECK(expected == textOf(5, previous));
 }
 
-TEST(RoutedLedger, aFindOfATurnThatItsHomeKeepsCostsTheStoreNothing) {
+TEST(RoutedLedger, lookupOfACachedTurnMakesNoStoreCall) {
   CHECK_TRUE(storeTurn(0, "t1", "", "text"));
   const int reads = log.reads;
   STRCMP_EQUAL("text", textOf(1, "t1").c_str());
@@ -115,9 +115,9 @@
   LONGS_EQUAL(1, log.appends);
 }
 
-TEST(RoutedLedger, budgetsHoldWhenNodesDisagreeOnTheHome) {
+TEST(RoutedLedger, budgetHoldsWhenNodesDisagreeOnTheCoordinator) {
   CHECK(reserve(0, "r1", 600) == ReservationOutcome::Granted);
-  // Nobody answers node 5: it decides by the log itself.
+  // No node replies to node 5, so it decides by the log itself.
   fleet.dead = allBut("node5");
   CHECK(reserve(5, "r2", 600) == ReservationOutcome::Spent);
   CHECK(reserve(5, "r3", 300) == ReservationOutcome::Granted);
@@ -127,20 +127,20 @@
   CHECK(reserve(2, "r5", 100) == ReservationOutcome::Granted);
 }
 
-TEST(RoutedLedger, aHomeThatWakesDoesNotGiveBackWhatAnotherHasGranted) {
+TEST(RoutedLedger, resumedCoordinatorDoesNotSettleAReservationGrantedElsewhere) {
   CHECK(reserve(0, "r1", 300) == ReservationOutcome::Granted);
-  // "r2" is granted by one home; another one comes to it late and does not find room for it.
+  // One coordinator grants "r2"; another one processes it late and finds it exceeds the budget.
   CHECK(reserve(1, "r2", 600) == ReservationOutcome::Granted);
   std::optional<LedgerOutcome> late;
   fleet.node(5).service.handle(ReserveRequest{{{"r2", "program", 600}, 500, {}}, seconds(2)},
                                [&late](const LedgerReply& reply) { late = reply.outcome; });
   timers.advance(seconds(2));
   CHECK(late == LedgerOutcome::BudgetSpent);
-  // The tokens of "r2" are still being handed out: nothing of them may be reserved again.
+  // The tokens of "r2" are still in use and must not be reserved again.
   CHECK(reserve(3, "r3", 200) == ReservationOutcome::Spent);
 }
 
-TEST(RoutedLedger, aSettlementReachesTheBudgetsHome) {
+TEST(RoutedLedger, settlementReachesTheBudgetsCoordinator) {
   CHECK(reserve(0, "r1", 900) == ReservationOutcome::Granted);
   CHECK(reserve(1, "r2", 900) == ReservationOutcome::Spent);
   fleet.node(0).ledger.settle({"r1", "program", 90});
@@ -148,11 +148,11 @@
   CHECK(reserve(1, "r3", 900) == ReservationOutcome::Granted);
 }
 
-TEST(RoutedLedger, aSilentHomeCostsOneCallAShortWaitAndLaterCallsNone) {
+TEST(RoutedLedger, unresponsiveCoordinatorDelaysOnlyTheFirstCall) {
   CHECK_TRUE(storeTurn(0, "t1", "", "text"));
   fleet.silent = allBut("node0");
   CHECK_TRUE(storeTurn(0, "t2", "", "text", milliseconds(1000)));
-  // It knows now which nodes to keep clients away from, for a while.
+  // The node is suspected for a while, so that clients are directed elsewhere.
   const auto suspects = [this] {
     return std::count_if(fleet.nodes.begin(), fleet.nodes.end(), [this](const auto& entry) {
       return fleet.node(0).ledger.isSuspect(entry.first);
@@ -166,7 +166,7 @@
   STRCMP_EQUAL("text", textOf(3, "t2").c_str());
 }
 
-TEST(RoutedLedger, unknownIsNeverSaidOfATurnThatAnotherNodeWroteByItself) {
+TEST(RoutedLedger, turnAppendedByAnIsolatedNodeIsNeverReportedUnknown) {
   STRCMP_EQUAL("<none>", textOf(1, "t1").c_str());
   fleet.dead = allBut("node0");
   CHECK_TRUE(storeTurn(0, "t1", "", "text"));
@@ -175,14 +175,14 @@
   STRCMP_EQUAL("text", textOf(1, "t1").c_str());
 }
 
-TEST(RoutedLedger, whileTheStoreIsSilentNothingIsSaidAndNothingPromised) {
+TEST(RoutedLedger, unresponsiveStoreYieldsUnavailable) {
   log.fault = FakeFault::Silent;
   CHECK(reserve(0, "r1", 100, seconds(6)) == ReservationOutcome::Unavailable);
   CHECK_TRUE(std::holds_alternative<LedgerUnavailable>(find(1, "t1")));
   CHECK_FALSE(storeTurn(2, "t2", "", "text"));
 }
 
-TEST(RoutedLedger, anOutageOfTheStoreDoesNotMakeEveryNodeReadThePartition) {
+TEST(RoutedLedger, storeOutageDoesNotMakeEveryNodeReadThePartition) {
   constexpr int kNodes = 24;
   Fleet large{log, timers, kNodes};
   log.fault = FakeFault::Busy;
@@ -196,18 +196,18 @@
   for (int node = 0; node < kNodes; ++node) {
     askedTheStore += large.node(node).store.counters().calls > 0 ? 1 : 0;
   }
-  // Two homes of two partitions of each zone.
+  // Two coordinators of two partitions in each zone.
   CHECK(askedTheStore <= 8);
   timers.advance(seconds(20));
 }
 
-TEST(RoutedLedger, aNodeThatReachesNoOtherReadsForItself) {
+TEST(RoutedLedger, isolatedNodeReadsTheStoreItself) {
   CHECK_TRUE(storeTurn(0, "t1", "", "text"));
   fleet.dead = allBut("node5");
   STRCMP_EQUAL("text", textOf(5, "t1").c_str());
 }
 
-TEST(RoutedLedger, tellsWhetherTheLogTakesWritesNow) {
+TEST(RoutedLedger, reportsWhetherTheLogAcceptsWrites) {
   Node& node = fleet.node(0);
   CHECK_TRUE(node.ledger.takesTurn({"t"}));
   CHECK(node.ledger.reservationOutlook("program") == ReservationOutlook::Likely);
@@ -220,7 +220,7 @@
   CHECK(node.ledger.reservationOutlook("program") == ReservationOutlook::Likely);
 }
 
-TEST(RoutedLedger, aReservationIsDoubtfulFromAFailureUntilOneIsDecided) {
+TEST(RoutedLedger, reservationOutlookIsDoubtfulFromAFailureUntilADecision) {
   Node& node = fleet.node(0);
   CHECK(reserve(0, "r0", 1) == ReservationOutcome::Granted);
   fleet.silent = allBut("node0");
@@ -230,7 +230,7 @@
   fleet.silent.clear();
   timers.advance(seconds(3));
   CHECK(node.ledger.reservationOutlook("program") == ReservationOutlook::Doubtful);
-  // A settlement is taken into a home's memory and says nothing of reservations.
+  // A settlement succeeds in the coordinator's memory, so it does not show that reservations work.
   node.ledger.settle({"r1", "program", 0});
   timers.advance(seconds(1));
   CHECK(node.ledger.reservationOutlook("program") == ReservationOutlook::Doubtful);
@@ -238,12 +238,12 @@
   CHECK(node.ledger.reservationOutlook("program") == ReservationOutlook::Likely);
 }
 
-TEST(RoutedLedger, aHomeThatCanDecideNothingSaysSoInItsReplyToASettlement) {
+TEST(RoutedLedger, settlementReplyReportsThatTheCoordinatorCannotDecideReservations) {
   CHECK(reserve(0, "r0", 1) == ReservationOutcome::Granted);
   log.fault = FakeFault::Busy;
-  // Another node's reservation shows the home that the store does not answer.
+  // Another node's reservation makes the coordinator detect that the store does not answer.
   reserve(1, "r1", 1, milliseconds(400));
-  // The nodes' own calls to the store have not failed.
+  // The nodes' own store calls have not failed.
   for (int number = 0; number < 6; ++number) {
     fleet.node(number).ledger.settle({"r0", "program", 1});
   }
@@ -260,8 +260,8 @@
 TEST(RoutedLedger, aCallEndsWhenOneHomeIsDeadAndTheOtherSaysThatTheStoreDoesNotAnswer) {
   const auto homes = fleet.homesOfBudget();
   const int asking = Fleet::nodeThatIsNoneOf(homes);
-  // The second home knows that the store does not answer it; the first one is dead, and its
-  // connections are not refused.
+  // The second coordinator has detected that the store does not answer. The first one is dead and
+  // does not refuse connections.
   log.fault = FakeFault::Busy;
   fleet.nodes[homes[1]]->local.reserve({{"x", "program", 1}, 1000, {}}, seconds(3),
                                        [](const ReservationReply&) {});
@@ -279,13 +279,13 @@
   CHECK(*ended - asked < milliseconds(500));
 }
 
-TEST(RoutedLedger, aTurnWhosePartitionIsOutOfOrderStandsInItsSecondOne) {
+TEST(RoutedLedger, turnIsStoredInItsSecondPartitionWhenTheFirstFails) {
   const LedgerPartitions layout{{}};
   log.downPartitions = {layout.ofTurn({"a", 0}, "t1")};
   CHECK_TRUE(storeTurn(0, "t1", "", "text", milliseconds(900)));
   STRCMP_EQUAL("text", textOf(1, "t1").c_str());
   STRCMP_EQUAL("text", textOf(4, "t1").c_str());
-  // Of another turn nothing can be said: it may stand in the partition that cannot be read.
+  // Another turn is undecided: it may be in the partition that cannot be read.
   std::string unseen;
   for (int number = 0; unseen.empty(); ++number) {
     const std::string name = "u" + std::to_string(number);
@@ -298,7 +298,7 @@
   STRCMP_EQUAL("text", textOf(3, "t1").c_str());
 }
 
-TEST(RoutedLedger, aHomeTellsOfATurnThatItRemembersWhileTheStoreDoesNotAnswerIt) {
+TEST(RoutedLedger, coordinatorServesACachedTurnDuringAStoreOutage) {
   CHECK_TRUE(storeTurn(0, "t1", "", "text"));
   STRCMP_EQUAL("text", textOf(1, "t1").c_str());
   log.fault = FakeFault::Busy;
@@ -309,7 +309,7 @@
   STRCMP_EQUAL("text", textOf(4, "t1").c_str());
 }
 
-TEST(RoutedLedger, theSecondPartitionIsAnotherOneForEveryTurn) {
+TEST(RoutedLedger, secondPartitionDiffersFromTheFirstForEveryTurn) {
   const LedgerPartitions layout{{}};
   std::set<logstore::PartitionAddress> seconds;
   for (int number = 0; number < 200; ++number) {
@@ -332,7 +332,7 @@
 
 TEST(RoutedLedger, aSlowHomeIsWaitedForRatherThanReadAroundByEveryNode) {
   CHECK_TRUE(storeTurn(0, "t1", "", std::string(1000, 'x')));
-  // All start anew: homes have to read the partition, and the store takes its time.
+  // After a restart of all nodes, coordinators have to read the partition from a slow store.
   Fleet restarted(log, timers);
   log.latency = milliseconds(450);
   const int reads = log.reads;
@@ -344,8 +344,8 @@
   }
   timers.advance(seconds(3));
   LONGS_EQUAL(3, found);
-  // One home reads once for the first question and once for the later ones, each with one more try
-  // beside a silent one.
+  // One coordinator reads once for the first lookup and once for the later ones. A read that is not
+  // answered soon may be retried once.
   CHECK(log.reads - reads <= 4);
 }
 
@@ -364,11 +364,11 @@
   timers.advance(seconds(1));
   LONGS_EQUAL(60, outcomes.size());
   LONGS_EQUAL(60, std::count(outcomes.begin(), outcomes.end(), ReservationOutcome::Granted));
-  // 3 s at 240 ms an append are 13 batches; a few have a second try before the pace is learned.
+  // 3 s at 240 ms per append give 13 batches. A few are retried before the call delay has adapted.
   CHECK(log.appends <= 20);
 }
 
-TEST(RoutedLedger, oldTokensOfAProgramAreForgottenInTime) {
+TEST(RoutedLedger, idleProgramUsageIsEvicted) {
   reserve(0, "r1", 100);
   LONGS_EQUAL(100, fleet.node(0).ledger.knownUse("program"));
   timers.advance(seconds(301));
