--- a/src/ledger/budget_partition.h
+++ b/src/ledger/budget_partition.h
@@ -139,7 +139,7 @@
                   const logstore::StoreResult<std::uint64_t>& result);
   void removeGrant(const std::string& request);
   void appendSettlement(const BudgetSettlement& settlement);
-  void appendLease(const BudgetLease& record, std::function<void(bool stands)> onRead);
+  void appendLease(const BudgetLease& record, std::function<void(bool appended)> onRead);
   void acquireOrRenewLease();
   void onLeaseRecordRead(const std::string& id, Instant askedAt);
   [[nodiscard]] bool isRenewalDue() const;
@@ -162,8 +162,7 @@
   std::uint64_t leaseNumber_ = 1;    ///< Of the current lease, or of the next one.
   std::uint64_t renewal_ = 0;        ///< Of the newest lease record requested.
   bool leaseAppendPending_ = false;  ///< A record of the own lease is being appended.
-  bool transitionPending_ =
-      false;  ///< A record that ends or clears another lease is being appended.
+  bool transitionPending_ = false;   ///< Likewise for another node's lease.
   bool isCoordinator_ = false;
   bool releasing_ = false;  ///< The lease is being released: no more grants under it.
   bool recordingScheduled_ = false;
--- a/src/ledger/routed_ledger.cpp
+++ b/src/ledger/routed_ledger.cpp
@@ -47,19 +47,19 @@
   return ReservationOutcome::Unavailable;
 }
 
-ReservationReply reservationReplyOf(CallResult end) {
+ReservationReply reservationReplyOf(CallResult result) {
   ReservationReply reply;
-  reply.outcome = reservationOutcomeOf(end.reply.outcome);
-  reply.tokensUsed = end.reply.tokensUsed;
-  reply.reason = end.reply.undecided;
-  reply.unseenLeases = end.reply.unseenLeases;
-  reply.tokensUnseen = end.reply.tokensUnseen;
-  const bool noReply = end.repliedBy.empty();
+  reply.outcome = reservationOutcomeOf(result.reply.outcome);
+  reply.tokensUsed = result.reply.tokensUsed;
+  reply.reason = result.reply.undecided;
+  reply.unseenLeases = result.reply.unseenLeases;
+  reply.tokensUnseen = result.reply.tokensUnseen;
+  const bool noReply = result.repliedBy.empty();
   if (noReply && reply.reason == UndecidedReason::Unknown) {
     reply.reason = UndecidedReason::NoAnswer;
   }
-  reply.repliedBy = std::move(end.repliedBy);
-  reply.asked = std::move(end.asked);
+  reply.repliedBy = std::move(result.repliedBy);
+  reply.asked = std::move(result.asked);
   return reply;
 }
 
@@ -69,14 +69,12 @@
 struct RoutedLedger::Call {
   LedgerRequest request;
   logstore::PartitionAddress partition;
-  std::vector<std::string>
-      coordinators;  ///< Node addresses in call order; the last may be this node.
+  std::vector<std::string> coordinators;  ///< In call order.
   CallResultCallback callback;
   Instant startedAt;
   Instant deadline;
   std::size_t attempts = 0;
-  bool endsAtThisNode =
-      false;  ///< The last of `coordinators` is this node, which does not coordinate the partition.
+  bool endsAtThisNode = false;             ///< The last one is no coordinator.
   bool coordinatorAlive = false;           ///< A coordinator replied or answered a liveness probe.
   std::vector<std::string> awaitingReply;  ///< Called and not replied yet.
   /// Called and failed a liveness probe: not waited for, but a late reply still counts.
@@ -85,17 +83,16 @@
   /// The last reply with a reason why a reservation is undecided; kept over later failures without
   /// one.
   std::optional<LedgerReply> undecided;
-  std::string
-      repliedBy;  ///< The node whose reply counts; before the end, the node that sent `undecided`.
+  std::string repliedBy;  ///< Sender of the final reply, or of `undecided`.
   bool done = false;
 
   void setResponse(const std::string& coordinator, CoordinatorState state,
                    std::string reason = {}) {
-    const auto word = std::find_if(asked.begin(), asked.end(), [&](const CoordinatorReport& one) {
-      return one.address == coordinator;
-    });
-    word->state = state;
-    word->reason = std::move(reason);
+    const auto report = std::find_if(
+        asked.begin(), asked.end(),
+        [&](const CoordinatorReport& candidate) { return candidate.address == coordinator; });
+    report->state = state;
+    report->reason = std::move(reason);
   }
 };
 
@@ -269,7 +266,7 @@
 }
 
 void RoutedLedger::onReply(const std::shared_ptr<Call>& call, const std::string& coordinator,
-                           Instant askedAt, std::optional<LedgerReply> reply) {
+                           Instant sentAt, std::optional<LedgerReply> reply) {
   const Instant now = clock_();
   for (std::vector<std::string>* const coordinators : {&call->awaitingReply, &call->abandoned}) {
     coordinators->erase(std::remove(coordinators->begin(), coordinators->end(), coordinator),
@@ -281,7 +278,7 @@
     if (selector_.clearSuspicion(coordinator) && knobs_.onSilence) {
       knobs_.onSilence(coordinator, false);
     }
-    pacer_.onAnswer(now - askedAt);
+    pacer_.onAnswer(now - sentAt);
   } else if (now < call->deadline) {
     // The connection failed. At the deadline no reply is not a sign of failure, because the
     // coordinator may be waiting for the store.
@@ -438,15 +435,15 @@
   timeLimit = std::min(timeLimit, BudgetLeaseKnobs{}.maxDecisionDelay);
   const logstore::PartitionAddress partition = layout_.ofBudget(reservation.program);
   startCall(ReserveRequest{request, timeLimit}, partition, {}, timeLimit,
-            [this, reservation, partition, callback = std::move(callback)](CallResult end) {
-              if (isConclusive(end.reply)) {
-                knownUse_[reservation.program] = {end.reply.tokensUsed, clock_()};
+            [this, reservation, partition, callback = std::move(callback)](CallResult result) {
+              if (isConclusive(result.reply)) {
+                knownUse_[reservation.program] = {result.reply.tokensUsed, clock_()};
               }
-              if (end.reply.outcome == LedgerOutcome::BudgetSpent) {
+              if (result.reply.outcome == LedgerOutcome::BudgetSpent) {
                 // This reply is final, so no tokens will be generated for the reservation.
                 settle({reservation.request, reservation.program, 0});
               }
-              ReservationReply reply = reservationReplyOf(std::move(end));
+              ReservationReply reply = reservationReplyOf(std::move(result));
               reply.partition = logstore::textOf(partition);
               callback(std::move(reply));
             });
@@ -465,7 +462,7 @@
 
 void RoutedLedger::sweep() {
   const Instant oldest = clock_() - knobs_.accountRetention;
-  std::erase_if(knownUse_, [oldest](const auto& entry) { return entry.second.heardAt < oldest; });
+  std::erase_if(knownUse_, [oldest](const auto& entry) { return entry.second.updatedAt < oldest; });
 }
 
 }  // namespace gorsetrail::ledger
--- a/src/ledger/routed_ledger.h
+++ b/src/ledger/routed_ledger.h
@@ -75,9 +75,8 @@
 /// Monotonic counters of ledger calls.
 struct RoutedLedgerCounters {
   std::uint64_t calls = 0;
-  std::uint64_t passedOn =
-      0;  ///< Retried at the next coordinator because one failed or did not answer.
-  std::uint64_t failed = 0;  ///< Ended without an answer from a coordinator or the store.
+  std::uint64_t passedOn = 0;  ///< Repeats of a call at another node.
+  std::uint64_t failed = 0;    ///< Ended without an answer from a coordinator or the store.
 };
 
 /// The deciding reply of a call, with the responses of all nodes called.
@@ -137,7 +136,7 @@
   struct Call;
   struct KnownUse {
     std::uint64_t tokens = 0;
-    Instant heardAt;
+    Instant updatedAt;
   };
 
   void startCall(LedgerRequest request, const logstore::PartitionAddress& partition,
@@ -146,7 +145,7 @@
   void failAsync(LedgerReply reply, CallResultCallback callback);
   void callNext(const std::shared_ptr<Call>& call);
   [[nodiscard]] bool hasNext(const Call& call) const;
-  void onReply(const std::shared_ptr<Call>& call, const std::string& coordinator, Instant askedAt,
+  void onReply(const std::shared_ptr<Call>& call, const std::string& coordinator, Instant sentAt,
                std::optional<LedgerReply> reply);
   static void recordResponse(Call& call, const std::string& coordinator, Instant now,
                              const std::optional<LedgerReply>& reply);
@@ -157,15 +156,16 @@
   [[nodiscard]] std::vector<Wave> wavesFor(const TurnZones& zones) const;
   void searchNext(const std::shared_ptr<Search>& search);
   void onSearched(const std::shared_ptr<Search>& search, const TurnPlacement& placement,
-                  CallResult end);
+                  CallResult result);
   [[nodiscard]] bool inSameRegion(std::string_view zone, std::string_view other) const;
   /// \return the partition in which new turns restricted to these zones are stored.
   [[nodiscard]] TurnPlacement placementFor(const TurnZones& zones, std::uint32_t choice) const;
   [[nodiscard]] std::vector<HomeCandidate> candidatesFor(const TurnPlacement* placement) const;
-  struct Storing;
-  void storeIn(std::uint32_t choice, const std::shared_ptr<Storing>& storing);
-  void storeInOtherPartition(std::uint32_t choice, const std::shared_ptr<Storing>& storing);
-  void onStored(std::uint32_t choice, const std::shared_ptr<Storing>& storing,
+  struct StoreOperation;
+  void storeIn(std::uint32_t choice, const std::shared_ptr<StoreOperation>& operation);
+  void storeInOtherPartition(std::uint32_t choice,
+                             const std::shared_ptr<StoreOperation>& operation);
+  void onStored(std::uint32_t choice, const std::shared_ptr<StoreOperation>& operation,
                 const LedgerReply& reply);
   void onTurnFound(LedgerReply reply, const TurnZones& zones, HistoryCallback callback);
   void scheduleLivenessProbe(const std::shared_ptr<Call>& call, Duration probeDelay);
--- a/src/ledger/routed_ledger_history.cpp
+++ b/src/ledger/routed_ledger_history.cpp
@@ -80,27 +80,27 @@
     }
     const std::string& turn = search->turn.request;
     startCall(FindTurnRequest{placement, turn}, layout_.ofTurn(placement, turn), placement.zone,
-              knobs_.findTimeLimit, [this, search, placement](CallResult end) {
-                onSearched(search, placement, std::move(end));
+              knobs_.findTimeLimit, [this, search, placement](CallResult result) {
+                onSearched(search, placement, std::move(result));
               });
   }
 }
 
 void RoutedLedger::onSearched(const std::shared_ptr<Search>& search, const TurnPlacement& placement,
-                              CallResult end) {
+                              CallResult result) {
   if (search->found) {
     return;
   }
-  if (end.reply.outcome == LedgerOutcome::Done) {
+  if (result.reply.outcome == LedgerOutcome::Done) {
     search->found = true;
-    onTurnFound(std::move(end.reply), search->turn.zones, search->callback);
+    onTurnFound(std::move(result.reply), search->turn.zones, search->callback);
     return;
   }
-  if (end.reply.outcome != LedgerOutcome::UnknownTurn) {
-    const std::string& reason = end.reply.reason;
+  if (result.reply.outcome != LedgerOutcome::UnknownTurn) {
+    const std::string& reason = result.reply.reason;
     search->unread.push_back({logstore::textOf(layout_.ofTurn(placement, search->turn.request)),
                               placement.choice, reason.empty() ? "no answer" : reason,
-                              std::move(end.asked), end.coordinatorAlive});
+                              std::move(result.asked), result.coordinatorAlive});
   }
   --search->pending;
   if (search->pending == 0) {
--- a/src/ledger/routed_ledger_storing.cpp
+++ b/src/ledger/routed_ledger_storing.cpp
@@ -13,7 +13,7 @@
 }
 
 /// A turn being stored; it may end up in both of its partitions.
-struct RoutedLedger::Storing {
+struct RoutedLedger::StoreOperation {
   CompletedTurn record;
   TurnZones zones;
   StoredCallback callback;
@@ -24,18 +24,18 @@
 };
 
 void RoutedLedger::storeTurn(TurnToStore turn, Duration timeLimit, StoredCallback callback) {
-  auto storing = std::make_shared<Storing>();
-  storing->zones = turn.zones;
-  storing->record = makeCompletedTurn(std::move(turn), knobs_.maximumInlineHistoryBytes);
-  storing->callback = std::move(callback);
-  storing->deadline = clock_() + timeLimit;
-  const std::string& name = storing->record.request;
-  const bool preferredAnswers = answers(layout_.ofTurn(placementFor(storing->zones, 0), name));
-  const bool fallbackAnswers = answers(layout_.ofTurn(placementFor(storing->zones, 1), name));
+  auto operation = std::make_shared<StoreOperation>();
+  operation->zones = turn.zones;
+  operation->record = makeCompletedTurn(std::move(turn), knobs_.maximumInlineHistoryBytes);
+  operation->callback = std::move(callback);
+  operation->deadline = clock_() + timeLimit;
+  const std::string& name = operation->record.request;
+  const bool preferredAnswers = answers(layout_.ofTurn(placementFor(operation->zones, 0), name));
+  const bool fallbackAnswers = answers(layout_.ofTurn(placementFor(operation->zones, 1), name));
   const std::uint32_t choice =
       knobs_.usesSecondPartitions && !preferredAnswers && fallbackAnswers ? 1 : 0;
-  storeIn(choice, storing);
-  timers_.runAfter(knobs_.secondPartitionDelay, [this, weak = std::weak_ptr(storing), choice] {
+  storeIn(choice, operation);
+  timers_.runAfter(knobs_.secondPartitionDelay, [this, weak = std::weak_ptr(operation), choice] {
     if (const auto waiting = weak.lock()) {
       storeInOtherPartition(choice, waiting);
     }
@@ -43,44 +43,45 @@
 }
 
 void RoutedLedger::storeInOtherPartition(std::uint32_t choice,
-                                         const std::shared_ptr<Storing>& storing) {
-  if (knobs_.usesSecondPartitions && !storing->done && !storing->triedBoth &&
-      clock_() < storing->deadline) {
-    storing->triedBoth = true;
-    storeIn(1 - choice, storing);
+                                         const std::shared_ptr<StoreOperation>& operation) {
+  if (knobs_.usesSecondPartitions && !operation->done && !operation->triedBoth &&
+      clock_() < operation->deadline) {
+    operation->triedBoth = true;
+    storeIn(1 - choice, operation);
   }
 }
 
-void RoutedLedger::storeIn(std::uint32_t choice, const std::shared_ptr<Storing>& storing) {
-  const TurnPlacement placement = placementFor(storing->zones, choice);
-  const Duration timeLimit = storing->deadline - clock_();
-  ++storing->inFlight;
-  startCall(
-      StoreTurnRequest{placement, storing->record, timeLimit},
-      layout_.ofTurn(placement, storing->record.request), placement.zone, timeLimit,
-      [this, choice, storing](const CallResult& end) { onStored(choice, storing, end.reply); });
+void RoutedLedger::storeIn(std::uint32_t choice, const std::shared_ptr<StoreOperation>& operation) {
+  const TurnPlacement placement = placementFor(operation->zones, choice);
+  const Duration timeLimit = operation->deadline - clock_();
+  ++operation->inFlight;
+  startCall(StoreTurnRequest{placement, operation->record, timeLimit},
+            layout_.ofTurn(placement, operation->record.request), placement.zone, timeLimit,
+            [this, choice, operation](const CallResult& result) {
+              onStored(choice, operation, result.reply);
+            });
 }
 
-void RoutedLedger::onStored(std::uint32_t choice, const std::shared_ptr<Storing>& storing,
+void RoutedLedger::onStored(std::uint32_t choice, const std::shared_ptr<StoreOperation>& operation,
                             const LedgerReply& reply) {
-  --storing->inFlight;
-  if (storing->done) {
+  --operation->inFlight;
+  if (operation->done) {
     return;
   }
   const bool rejected = reply.outcome == LedgerOutcome::Rejected;
   const bool stored = reply.outcome == LedgerOutcome::Done;
   if (!stored && !rejected) {
-    storeInOtherPartition(choice, storing);
-    if (storing->inFlight > 0) {
+    storeInOtherPartition(choice, operation);
+    if (operation->inFlight > 0) {
       return;
     }
   }
-  storing->done = true;
+  operation->done = true;
   if (stored) {
-    storing->callback(Success{});
+    operation->callback(Success{});
   } else {
     const auto fault = rejected ? logstore::StoreFault::Rejected : logstore::StoreFault::NoAnswer;
-    storing->callback(logstore::StoreError{fault, reply.reason, 0});
+    operation->callback(logstore::StoreError{fault, reply.reason, 0});
   }
 }
 
--- a/tests/ledger/budget_partition_test.cpp
+++ b/tests/ledger/budget_partition_test.cpp
@@ -26,15 +26,15 @@
 TEST_GROUP(BudgetPartition) {
   BudgetFleet fleet;
 
-  ReservationOutcome spend(BudgetNode & home, const char* request, std::uint64_t tokens,
+  ReservationOutcome spend(BudgetNode & node, const char* request, std::uint64_t tokens,
                            std::uint64_t budget = 1000, const char* program = "program") {
-    return fleet.spend(home, request, program, tokens, budget, kTimeLeft);
+    return fleet.spend(node, request, program, tokens, budget, kTimeLeft);
   }
   /// Reserves ten turns of 100 tokens without waiting. \param replies counts the replies.
-  void reserveTenTurns(BudgetNode & home, Duration timeLimit, int& replies) {
+  void reserveTenTurns(BudgetNode & node, Duration timeLimit, int& replies) {
     for (int number = 0; number < 10; ++number) {
       const BudgetReservation turn{"t" + std::to_string(number), "program", 100};
-      home.partition.reserve({turn, 1000, kTimeLeft}, timeLimit,
+      node.partition.reserve({turn, 1000, kTimeLeft}, timeLimit,
                              [this, &replies](const ReservationReply& reply) {
                                ++replies;
                                const bool granted = reply.outcome == ReservationOutcome::Granted;
@@ -45,62 +45,62 @@
 };
 
 TEST(BudgetPartition, grantsSynchronouslyUnderALeaseAndRecordsLater) {
-  BudgetNode& home = fleet.startWithLease("a");
+  BudgetNode& node = fleet.startWithLease("a");
   const int appends = fleet.log.appends;
   bool granted = false;
-  home.partition.reserve({{"r1", "program", 300}, 1000, kTimeLeft}, seconds(1),
+  node.partition.reserve({{"r1", "program", 300}, 1000, kTimeLeft}, seconds(1),
                          [&granted](const ReservationReply& reply) {
                            granted = reply.outcome == ReservationOutcome::Granted;
                          });
   CHECK_TRUE(granted);
-  LONGS_EQUAL(1, home.partition.unrecordedGrants());
-  home.partition.settle({"r1", "program", 90});
+  LONGS_EQUAL(1, node.partition.unrecordedGrants());
+  node.partition.settle({"r1", "program", 90});
   fleet.timers.advance(seconds(1));
-  LONGS_EQUAL(0, home.partition.unrecordedGrants());
+  LONGS_EQUAL(0, node.partition.unrecordedGrants());
   LONGS_EQUAL(appends + 1, fleet.log.appends);  // Reservation and settlement share one.
-  LONGS_EQUAL(90, home.partition.tokensUsedBy("program"));
+  LONGS_EQUAL(90, node.partition.tokensUsedBy("program"));
 }
 
 TEST(BudgetPartition, withoutALeaseOnlyTheLogDecides) {
-  BudgetNode& home = fleet.start("a");
+  BudgetNode& node = fleet.start("a");
   fleet.log.fault = FakeFault::Silent;
-  CHECK(spend(home, "r1", 300) == ReservationOutcome::Unavailable);
+  CHECK(spend(node, "r1", 300) == ReservationOutcome::Unavailable);
 }
 
 TEST(BudgetPartition, repliesSynchronouslyWithoutALeaseWhileTheStoreIsUnavailable) {
-  BudgetNode& home = fleet.start("a");
+  BudgetNode& node = fleet.start("a");
   fleet.log.fault = FakeFault::Busy;
-  fleet.spend(home, "r1", "program", 300, 1000, kTimeLeft, milliseconds(150));
+  fleet.spend(node, "r1", "program", 300, 1000, kTimeLeft, milliseconds(150));
   bool replied = false;
-  home.partition.reserve({{"r3", "program", 300}, 1000, kTimeLeft}, seconds(1),
+  node.partition.reserve({{"r3", "program", 300}, 1000, kTimeLeft}, seconds(1),
                          [&replied](const ReservationReply&) { replied = true; });
   CHECK_TRUE(replied);
 }
 
 TEST(BudgetPartition, aHomeWithALeaseGoesOnWhileTheStoreIsDown) {
-  BudgetNode& home = fleet.startWithLease("a");
+  BudgetNode& node = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Busy;
-  CHECK(spend(home, "r1", 200) == ReservationOutcome::Granted);
-  home.partition.settle({"r1", "program", 80});
+  CHECK(spend(node, "r1", 200) == ReservationOutcome::Granted);
+  node.partition.settle({"r1", "program", 80});
   fleet.timers.advance(seconds(3));
-  CHECK(spend(home, "r2", 200) == ReservationOutcome::Granted);
-  home.partition.settle({"r2", "program", 80});
-  CHECK(spend(home, "r3", 200) == ReservationOutcome::Granted);
-  LONGS_EQUAL(3, home.partition.unrecordedGrants());
+  CHECK(spend(node, "r2", 200) == ReservationOutcome::Granted);
+  node.partition.settle({"r2", "program", 80});
+  CHECK(spend(node, "r3", 200) == ReservationOutcome::Granted);
+  LONGS_EQUAL(3, node.partition.unrecordedGrants());
   fleet.log.fault = FakeFault::None;
   fleet.timers.advance(seconds(4));
-  LONGS_EQUAL(0, home.partition.unrecordedGrants());
-  LONGS_EQUAL(360, home.partition.tokensUsedBy("program"));
+  LONGS_EQUAL(0, node.partition.unrecordedGrants());
+  LONGS_EQUAL(360, node.partition.tokensUsedBy("program"));
 }
 
 TEST(BudgetPartition, nextCoordinatorReadsGrantsRecordedAfterTheFact) {
-  BudgetNode& home = fleet.startWithLease("a");
+  BudgetNode& node = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Busy;
-  spend(home, "r1", 200);
-  home.partition.settle({"r1", "program", 80});
+  spend(node, "r1", 200);
+  node.partition.settle({"r1", "program", 80});
   fleet.log.fault = FakeFault::None;
   fleet.timers.advance(seconds(4));
-  home.partition.releaseLease();
+  node.partition.releaseLease();
   fleet.timers.advance(seconds(1));
   BudgetNode& next = fleet.start("b");
   CHECK(spend(next, "r2", 100) == ReservationOutcome::Granted);
@@ -108,23 +108,23 @@
 }
 
 TEST(BudgetPartition, aProgramThatLoopsInAnOutageGetsNoMoreThanTheLeasesShare) {
-  BudgetNode& home = fleet.startWithLease("a");
+  BudgetNode& node = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Silent;
   for (int number = 0; number < 30; ++number) {
-    fleet.spend(home, "r" + std::to_string(number), "program", 50, 1000, kTimeLeft);
+    fleet.spend(node, "r" + std::to_string(number), "program", 50, 1000, kTimeLeft);
   }
   LONGS_EQUAL(450, fleet.handedOut["program"]);
 }
 
 TEST(BudgetPartition, outageDoesNotIncreaseTheBudget) {
-  BudgetNode& home = fleet.startWithLease("a");
+  BudgetNode& node = fleet.startWithLease("a");
   for (int number = 0; number < 16; ++number) {
-    spend(home, ("r" + std::to_string(number)).c_str(), 50);
+    spend(node, ("r" + std::to_string(number)).c_str(), 50);
     fleet.timers.advance(seconds(1));
   }
   fleet.log.fault = FakeFault::Silent;
   for (int number = 16; number < 40; ++number) {
-    fleet.spend(home, "r" + std::to_string(number), "program", 50, 1000, kTimeLeft);
+    fleet.spend(node, "r" + std::to_string(number), "program", 50, 1000, kTimeLeft);
   }
   LONGS_EQUAL(1000, fleet.handedOut["program"]);
 }
@@ -183,10 +183,10 @@
 
 TEST(BudgetPartition, allPowerLostTwiceAmidOutagesKeepsTheBudget) {
   for (int restart = 0; restart < 2; ++restart) {
-    BudgetNode& home = fleet.startWithLease("a");
+    BudgetNode& node = fleet.startWithLease("a");
     fleet.log.fault = FakeFault::Silent;
     for (int number = 0; number < 30; ++number) {
-      fleet.spend(home, "r" + std::to_string(restart) + "-" + std::to_string(number), "program", 50,
+      fleet.spend(node, "r" + std::to_string(restart) + "-" + std::to_string(number), "program", 50,
                   1000, kTimeLeft);
     }
     fleet.kill("a");
@@ -212,11 +212,11 @@
 }
 
 TEST(BudgetPartition, nothingIsGrantedUnderAnExpiredLease) {
-  BudgetNode& home = fleet.startWithLease("a");
-  home.storeLink.cut = true;
+  BudgetNode& node = fleet.startWithLease("a");
+  node.storeLink.cut = true;
   fleet.timers.advance(BudgetLeaseKnobs{}.validity);
-  CHECK_FALSE(home.partition.holdsLease());
-  CHECK(spend(home, "r1", 50) == ReservationOutcome::Unavailable);
+  CHECK_FALSE(node.partition.holdsLease());
+  CHECK(spend(node, "r1", 50) == ReservationOutcome::Unavailable);
 }
 
 TEST(BudgetPartition, nodeWhoseLeaseOthersEndedAcquiresANewOneWhenASlotIsFree) {
@@ -236,14 +236,14 @@
 }
 
 TEST(BudgetPartition, ofThreeHomesThatTakeALeaseAtOnceOneHoldsIt) {
-  std::vector<BudgetNode*> homes{&fleet.start("a"), &fleet.start("b"), &fleet.start("c")};
-  for (BudgetNode* const home : homes) {
-    home->partition.maintainLease();
+  std::vector<BudgetNode*> nodes{&fleet.start("a"), &fleet.start("b"), &fleet.start("c")};
+  for (BudgetNode* const node : nodes) {
+    node->partition.maintainLease();
   }
   fleet.timers.advance(seconds(1));
   const auto holdersOf = [&](std::optional<BudgetLeaseSlot> slot) {
-    return std::count_if(homes.begin(), homes.end(), [&](const BudgetNode* home) {
-      return home->partition.heldLeaseSlot() == slot;
+    return std::count_if(nodes.begin(), nodes.end(), [&](const BudgetNode* node) {
+      return node->partition.heldLeaseSlot() == slot;
     });
   };
   LONGS_EQUAL(1, holdersOf(BudgetLeaseSlot::Primary));
@@ -314,12 +314,12 @@
 
 TEST(BudgetPartition, aThirdLifeWithinTheTimeOfClearingHasNoLeaseAndKeepsTheBudget) {
   for (int restart = 0; restart < 2; ++restart) {
-    BudgetNode& home = fleet.start("a");
-    fleet.maintainLeaseFor(home, seconds(1));
-    CHECK_TRUE(home.partition.holdsLease());
+    BudgetNode& node = fleet.start("a");
+    fleet.maintainLeaseFor(node, seconds(1));
+    CHECK_TRUE(node.partition.holdsLease());
     fleet.log.fault = FakeFault::Silent;
     for (int number = 0; number < 10; ++number) {
-      fleet.spend(home, "r" + std::to_string(restart) + "-" + std::to_string(number), "program", 50,
+      fleet.spend(node, "r" + std::to_string(restart) + "-" + std::to_string(number), "program", 50,
                   1000, kTimeLeft, milliseconds(100));
     }
     fleet.kill("a");
@@ -340,10 +340,10 @@
 
 TEST(BudgetPartition, overdueProgramOfTwoDeadNodesCountsTheirClearedLeases) {
   for (int restart = 0; restart < 2; ++restart) {
-    BudgetNode& home = fleet.start("a");
-    fleet.maintainLeaseFor(home, seconds(1));
+    BudgetNode& node = fleet.start("a");
+    fleet.maintainLeaseFor(node, seconds(1));
     fleet.log.fault = FakeFault::Silent;
-    fleet.spend(home, "r" + std::to_string(restart), "program", restart == 0 ? 450 : 150, 1000,
+    fleet.spend(node, "r" + std::to_string(restart), "program", restart == 0 ? 450 : 150, 1000,
                 kTimeLeft);
     fleet.log.fault = FakeFault::None;
   }
@@ -405,24 +405,24 @@
 }
 
 TEST(BudgetPartition, leaseIsReleasedOnlyAfterAllGrantsAreRecorded) {
-  BudgetNode& home = fleet.startWithLease("a");
+  BudgetNode& node = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Busy;
-  spend(home, "r1", 300);
-  home.partition.releaseLease();
-  CHECK_FALSE(home.partition.holdsLease());
+  spend(node, "r1", 300);
+  node.partition.releaseLease();
+  CHECK_FALSE(node.partition.holdsLease());
   fleet.timers.advance(seconds(1));
-  home.storeLink.cut = true;
+  node.storeLink.cut = true;
   fleet.log.fault = FakeFault::None;
   BudgetNode& next = fleet.start("b");
   // The lease counts until it is released.
   spend(next, "r2", 600);
   CHECK(spend(next, "r3", 100) == ReservationOutcome::Unavailable);
-  home.storeLink.cut = false;
+  node.storeLink.cut = false;
   for (int tick = 0; tick < 20; ++tick) {
-    home.partition.releaseLease();
+    node.partition.releaseLease();
     fleet.timers.advance(milliseconds(200));
   }
-  LONGS_EQUAL(0, home.partition.unrecordedGrants());
+  LONGS_EQUAL(0, node.partition.unrecordedGrants());
   CHECK(fleet.spend(next, "r4", "new", 600, 1000, kTimeLeft) == ReservationOutcome::Granted);
   CHECK(fleet.spend(next, "r5", "new", 400, 1000, kTimeLeft) == ReservationOutcome::Granted);
 }
@@ -484,17 +484,17 @@
 }
 
 TEST(BudgetPartition, leaseIsNotUsedForLongProgramsOrAnUnknownRemainingTime) {
-  BudgetNode& home = fleet.startWithLease("a");
+  BudgetNode& node = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Silent;
-  CHECK(fleet.spend(home, "r1", "long", 50, 1000, seconds(11)) == ReservationOutcome::Unavailable);
-  CHECK(fleet.spend(home, "r2", "untold", 50, 1000, {}) == ReservationOutcome::Unavailable);
+  CHECK(fleet.spend(node, "r1", "long", 50, 1000, seconds(11)) == ReservationOutcome::Unavailable);
+  CHECK(fleet.spend(node, "r2", "untold", 50, 1000, {}) == ReservationOutcome::Unavailable);
 }
 
 TEST(BudgetPartition, noLeaseIsAcquiredWhenLeasesAreDisabled) {
   BudgetPartitionKnobs knobs;
   knobs.leases.enabled = false;
   BudgetFleet without(knobs);
-  BudgetNode& home = without.startWithLease("a");
-  CHECK_FALSE(home.partition.holdsLease());
+  BudgetNode& node = without.startWithLease("a");
+  CHECK_FALSE(node.partition.holdsLease());
   LONGS_EQUAL(0, without.log.appends);
 }
