--- a/src/membership/backend_notices.h
+++ b/src/membership/backend_notices.h
@@ -1,4 +1,4 @@
-/// \file Which back ends take no new work, agreed by all nodes without a coordinator.
+/// \file Replicated set of draining back ends, merged by version without a coordinator.
 #pragma once
 
 #include <cstdint>
@@ -9,20 +9,22 @@
 
 namespace gorsetrail::membership {
 
-/// Bound of the table: more back ends than this are not remembered (and not announced).
+/// Notices about further back ends are neither stored nor announced.
 inline constexpr std::size_t kMaximumRememberedNotices = 1024;
 
-/// \return whether `left` replaces `right`: the higher version; between two announcements of one
-/// version `leaving` wins, since sending work to a leaving back end is the worse mistake.
+/// \return whether `left` replaces `right`: the higher version wins. Between notices of the same
+/// version `leaving` wins, because sending work to a draining back end is the worse error.
 bool supersedes(const BackendNotice& left, const BackendNotice& right);
 
-/// The highest notice of each back end, 12 bytes each.
+/// Stores the latest notice of each back end; 12 bytes per entry.
 class BackendNotices {
  public:
-  /// Merges a notice heard from a peer.
-  /// \return its index when it replaced the notice held (or was the first), else nothing.
+  /// Merges a notice received from a peer.
+  /// \return the entry's index if the notice was stored, nothing if it was obsolete or the table is
+  /// full.
   std::optional<std::uint32_t> merge(const BackendNotice& notice);
-  /// Makes the next version of a notice unless the one held says the same already.
+  /// Creates a notice with the next version, unless the stored notice already has this state.
+  /// \return the entry's index if a notice was created.
   std::optional<std::uint32_t> announce(std::uint32_t backendHash, bool leaving);
   [[nodiscard]] const BackendNotice& at(std::uint32_t index) const { return notices_[index]; }
   [[nodiscard]] std::size_t size() const { return notices_.size(); }
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -98,24 +98,25 @@
   return *place;
 }
 
-MemberUpdate MemberTable::belief(MemberIndex index) const {
+MemberUpdate MemberTable::updateAt(MemberIndex index) const {
   const Entry& entry = entries_[index];
   return {entry.node, entry.incarnation, entry.state, entry.refutation};
 }
 
 MergeResult MemberTable::merge(MemberIndex index, const MemberUpdate& update) {
-  const MemberUpdate held = belief(index);
-  if (!supersedes(update, held)) {
+  const MemberUpdate current = updateAt(index);
+  if (!supersedes(update, current)) {
     return MergeResult::Ignored;
   }
-  deadCount_ -= held.state == MemberState::Dead ? 1 : 0;
+  deadCount_ -= current.state == MemberState::Dead ? 1 : 0;
   deadCount_ += update.state == MemberState::Dead ? 1 : 0;
   Entry& entry = entries_[index];
   entry.incarnation = update.incarnation;
   entry.refutation = update.refutation;
   entry.state = update.state;
-  const bool sameLife = held.incarnation == update.incarnation;
-  return sameLife && held.state == update.state ? MergeResult::Refreshed : MergeResult::Changed;
+  const bool isSameIncarnation = current.incarnation == update.incarnation;
+  return isSameIncarnation && current.state == update.state ? MergeResult::Refreshed
+                                                            : MergeResult::Changed;
 }
 
 }  // namespace gorsetrail::membership
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,12 +1,11 @@
-/// \file Beliefs about every configured node, and the rule by which one belief replaces another.
+/// \file Membership state of every configured node, and the rule that orders conflicting updates.
 ///
-/// The rule is a total order on beliefs, so nodes that have heard the same beliefs in any order
-/// end with the same one:
-/// 1. a higher incarnation supersedes every belief about a lower one;
-/// 2. `Terminated` is final for its incarnation;
-/// 3. a higher refutation counter (raised only by the node itself) wins;
-/// 4. then Dead, Suspected, Leaving, Alive in this order. `Suspected` goes before `Leaving`, since
-///    a leaving node can die as well; it answers a suspicion with `Leaving` again.
+/// The rule is a total order, so nodes that receive the same updates in any order converge:
+/// 1. A higher incarnation supersedes every update about a lower one.
+/// 2. `Terminated` is final for its incarnation.
+/// 3. A higher refutation counter wins; only the node itself raises it.
+/// 4. Otherwise the order is Dead, Suspected, Leaving, Alive. `Suspected` precedes `Leaving`
+/// because a leaving node can fail too; it refutes a suspicion by announcing `Leaving` again.
 #pragma once
 
 #include <cstdint>
@@ -17,42 +16,41 @@
 
 namespace gorsetrail::membership {
 
-/// Position of a member in the table; dense.
+/// Index of a member in the table; indices are contiguous.
 using MemberIndex = std::uint32_t;
 
-/// What merging a belief came to.
 enum class MergeResult : std::uint8_t {
-  Ignored,    ///< The belief held already is as high or higher.
-  Refreshed,  ///< Same life and state with a higher refutation counter: worth spreading only.
-  Changed,    ///< Life or state changed.
+  Ignored,    ///< The stored update supersedes it or is equal.
+  Refreshed,  ///< Same incarnation and state, higher refutation counter: disseminate only.
+  Changed,    ///< The incarnation or the state changed.
 };
 
-/// \return whether `left` replaces `right`; both are about the same node.
+/// \return whether `left` replaces `right`; both must be about the same node.
 bool supersedes(const MemberUpdate& left, const MemberUpdate& right);
 
-/// 40 bytes a member; lookups are by binary search.
+/// Latest known state of each member; 40 bytes per member, binary search by node id.
 class MemberTable {
  public:
   /// Every member starts as `Alive` with the unknown incarnation 0: configured nodes are presumed
-  /// reachable until a probe says otherwise.
+  /// reachable until a probe fails.
   explicit MemberTable(const std::vector<Member>& members);
 
-  /// Takes in a node that is not in the table, at a place of its own.
+  /// Appends a node that is not in the table.
   MemberIndex add(NodeId node);
-  /// Gives the place of a node that is gone to another one, of which nothing is known.
+  /// Reuses the index of a removed node for another one, whose state is unknown.
   void replace(MemberIndex index, NodeId node);
-  /// Takes the node out of all look-ups; its place waits for `replace`.
+  /// Excludes the node from lookups; its index can be reused by `replace`.
   void remove(MemberIndex index);
 
   [[nodiscard]] std::optional<MemberIndex> find(NodeId node) const;
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
-  [[nodiscard]] MemberUpdate belief(MemberIndex index) const;
+  [[nodiscard]] MemberUpdate updateAt(MemberIndex index) const;
   [[nodiscard]] NodeId nodeAt(MemberIndex index) const { return entries_[index].node; }
   [[nodiscard]] MemberState stateAt(MemberIndex index) const { return entries_[index].state; }
   [[nodiscard]] std::size_t deadCount() const { return deadCount_; }
   MergeResult merge(MemberIndex index, const MemberUpdate& update);
 
-  /// \return the highest bundle version of that peer that was already reported as newer.
+  /// \return the highest bundle version of this peer that was already reported as newer.
   [[nodiscard]] BundleVersion reportedBundle(MemberIndex index) const {
     return entries_[index].reportedBundle;
   }
--- a/src/membership/membership_codec.h
+++ b/src/membership/membership_codec.h
@@ -1,4 +1,4 @@
-/// \file Membership messages as the bytes of one datagram.
+/// \file Encodes membership messages as single datagrams.
 #pragma once
 
 #include <string>
@@ -9,10 +9,11 @@
 
 namespace gorsetrail::membership {
 
-/// Back-end notices and the bundle's version are left out: edge nodes follow both in the store.
+/// Back-end notices and the bundle version are not encoded: edge nodes read both from the log
+/// store.
 std::string encodeMembershipMessage(const MembershipMessage& message);
 
-/// Errors: `InvalidFrame`, also for a state or a kind that this version does not know.
+/// Errors: `InvalidFrame`, also if a state or a message kind is unknown to this version.
 Result<MembershipMessage> decodeMembershipMessage(std::string_view bytes);
 
 }  // namespace gorsetrail::membership
--- a/src/membership/membership_interface.h
+++ b/src/membership/membership_interface.h
@@ -1,6 +1,6 @@
-/// \file Messages of failure detection and what rides on them.
+/// \file Failure detection messages and the gossip piggybacked on them.
 ///
-/// Cost a node is constant: one probe a period, a bounded number of updates on each message.
+/// The cost per node is constant: one probe per period and a bounded number of updates per message.
 #pragma once
 
 #include <cstdint>
@@ -13,10 +13,10 @@
 
 namespace gorsetrail::membership {
 
-/// Belief about one life of a node. `Terminated` comes only from the platform's machine list.
+/// State of one incarnation of a node. `Terminated` comes only from the platform's machine list.
 enum class MemberState : std::uint8_t { Alive, Suspected, Dead, Leaving, Terminated };
 
-/// \return the state's stable name for logs.
+/// \return the state's name in logs; these names are stable.
 constexpr std::string_view memberStateName(MemberState state) {
   switch (state) {
     case MemberState::Alive:
@@ -33,7 +33,7 @@
   return "unknown";
 }
 
-/// A belief that spreads; a higher incarnation wins, then the higher state rank.
+/// Disseminated state of a node; see `member_table.h` for the order of updates.
 struct MemberUpdate {
   NodeId node;
   Incarnation incarnation;
@@ -41,14 +41,14 @@
   std::uint32_t refutation = 0;  ///< Raised by the node itself to refute a suspicion.
 };
 
-/// A back end that takes no new work (or takes it again); the higher `version` wins.
+/// Says whether a back end is draining; the higher `version` wins.
 struct BackendNotice {
   std::uint32_t backendHash = 0;  ///< First 32 bits of the digest of the back end's name.
   bool leaving = false;
   std::uint32_t version = 0;
 };
 
-/// What every membership message carries besides its own content.
+/// Gossip that every membership message carries besides its own content.
 struct Piggyback {
   Incarnation senderIncarnation;
   BundleVersion bundleInForce;
@@ -66,7 +66,7 @@
   std::uint32_t probe = 0;
   Piggyback piggyback;
 };
-/// Asks another node to probe `target`, since the own probe went unanswered.
+/// Asks another node to probe `target` because the sender's direct probe timed out.
 struct IndirectProbeRequest {
   std::uint32_t probe = 0;
   NodeId target;
--- a/src/membership/membership_service.h
+++ b/src/membership/membership_service.h
@@ -1,4 +1,4 @@
-/// \file Failure detector and member view of one node: no I/O, no clock.
+/// \file SWIM failure detector and member list of one node. Does no I/O and reads no clock.
 #pragma once
 
 #include <memory>
@@ -13,19 +13,19 @@
 
 namespace gorsetrail::membership {
 
-/// Bound of the table. Positions are 16 bits in the probe order; an eighth of that is ten times the
-/// largest fleet planned for (400 nodes) and takes 330 KB.
+/// Limits memory to about 330 KB; indices in the probe order have 16 bits.
 inline constexpr std::size_t kMaximumMembers = 8192;
 
-/// A node as the settings or the machine list name it.
+/// A node as listed in the settings or in the machine list.
 struct Member {
   NodeId node;
   std::string zone;
-  std::string peerAddress;    ///< `host:port` for other nodes.
-  std::string callerAddress;  ///< `host:port` for callers.
+  std::string peerAddress;    ///< `host:port` used by other nodes.
+  std::string callerAddress;  ///< `host:port` used by callers.
 };
 
-/// A line of the platform's machine list (lagging; silence in it proves nothing).
+/// An entry of the platform's machine list. The list may be stale, and a node missing from it may
+/// still be running.
 struct MachineListLine {
   NodeId node;
   Incarnation incarnation;
@@ -36,15 +36,15 @@
   NodeId to;
   MembershipMessage message;
 };
-/// The view changed: the node tells the other subsystems.
+/// The state of a member changed; the caller informs the other subsystems.
 struct MemberChanged {
   MemberUpdate update;
 };
-/// A back end began or ceased to leave.
+/// A back end started or stopped draining.
 struct BackendChanged {
   BackendNotice notice;
 };
-/// A peer has a higher bundle in force than this node.
+/// A peer has activated a higher bundle version than this node.
 struct NewerBundleSeen {
   NodeId peer;
   BundleVersion version;
@@ -59,34 +59,34 @@
   Duration suspicionTimeout = milliseconds(1000);
   std::size_t indirectProbes = 2;
   std::size_t updateTransmissions = 12;
-  /// A node that heard from nobody for so long doubts its own links: it suspects nobody and
-  /// declares nobody dead. As long as a suspicion lasts, so that none can end in between; eight
-  /// messages are usual in this time.
+  /// A node that received no message for this long assumes that its own links failed: it suspects
+  /// no member and declares none dead. At least `suspicionTimeout`, so that no suspicion that began
+  /// in the meantime can expire.
   Duration isolationSilence = seconds(1);
-  /// Probes of nodes that are not members are answered: in a fleet that nodes join, the one that
-  /// asks may know this node before it is known here.
+  /// Whether probes from unknown nodes are answered. Needed where nodes join at run time, since the
+  /// prober may know this node before this node knows the prober.
   bool answersUnknownNodes = false;
 };
 
 class MembershipService {
  public:
   virtual ~MembershipService() = default;
-  /// Takes a node in that was not known at the start; presumed to run until a probe says otherwise.
-  /// A known node only gets its addresses renewed. \return false when the table is full
-  /// (`kMaximumMembers`): the node is then not watched.
+  /// Adds a node, presumed alive until a probe fails. For a known node only the addresses are
+  /// updated.
+  /// \return false if the table is full (`kMaximumMembers`); the node is then not monitored.
   virtual bool addMember(Member member) = 0;
-  /// Forgets a node: its place is used for the next one that is added.
+  /// Removes a node; its table index is reused by the next one that is added.
   virtual void removeMember(NodeId node) = 0;
   virtual void onMembershipMessage(NodeId from, const MembershipMessage& message, Instant now) = 0;
   virtual void onMachineList(const std::vector<MachineListLine>& lines, Instant now) = 0;
   virtual void onTick(Instant now) = 0;
-  /// Spreads that a back end is leaving (or serves again).
+  /// Disseminates that a back end is draining (`leaving`) or available again.
   virtual void announceBackend(std::uint32_t backendHash, bool leaving, Instant now) = 0;
   virtual void setBundleInForce(BundleVersion version) = 0;
-  /// Planned stop: tells everybody that this node is leaving.
+  /// Announces a planned shutdown of this node to all members.
   virtual void beginLeave(Instant now) = 0;
   [[nodiscard]] virtual bool knows(NodeId node) const = 0;
-  /// \return what is believed of the node; `Dead` for one that is not known.
+  /// \return the node's last known state; `Dead` for an unknown node.
   [[nodiscard]] virtual MemberState stateOf(NodeId node) const = 0;
   [[nodiscard]] virtual Incarnation incarnationOf(NodeId node) const = 0;
   [[nodiscard]] virtual const std::vector<Member>& members() const = 0;
@@ -94,7 +94,7 @@
 };
 using MembershipServicePtr = std::unique_ptr<MembershipService>;
 
-/// \param members every configured node, `self` among them.
+/// \param members all configured nodes, including `self`.
 MembershipServicePtr makeMembershipService(NodeId self, Incarnation incarnation,
                                            std::vector<Member> members, MembershipKnobs knobs,
                                            std::uint64_t seed);
--- a/src/membership/swim_dissemination.cpp
+++ b/src/membership/swim_dissemination.cpp
@@ -12,19 +12,19 @@
 /// Extra probes that a piece of urgent news causes at each node that hears it first.
 constexpr std::uint32_t kUrgentFanOut = 3;
 /// Extra probes that may wait at one time.
-constexpr std::uint32_t kMaximumUrgentSends = 6;
+constexpr std::uint32_t kMaximumUrgentProbes = 6;
 /// At most one report of a newer bundle in this time: each makes the node fetch.
-constexpr Duration kBundleReportSpacing = milliseconds(100);
+constexpr Duration kBundleReportInterval = milliseconds(100);
 /// A report whose fetch came to nothing (a lost message) is made again after this time.
-constexpr Duration kBundleReportRepeat = seconds(5);
+constexpr Duration kBundleReportRetryInterval = seconds(5);
 
 }  // namespace
 
 /// \return whether the sender is the life of that node that is believed to be the latest.
 bool SwimMembership::readPiggyback(MemberIndex sender, const Piggyback& piggyback, Instant now) {
-  const MemberUpdate held = table_.belief(sender);
-  if (piggyback.senderIncarnation > held.incarnation) {
-    applyUpdate(sender, {held.node, piggyback.senderIncarnation, MemberState::Alive, 0}, now);
+  const MemberUpdate current = table_.updateAt(sender);
+  if (piggyback.senderIncarnation > current.incarnation) {
+    applyUpdate(sender, {current.node, piggyback.senderIncarnation, MemberState::Alive, 0}, now);
   }
   const std::size_t updates = std::min(piggyback.updates.size(), kMaximumUpdates);
   for (std::size_t place = 0; place < updates; ++place) {
@@ -38,23 +38,23 @@
   for (std::size_t place = 0; place < notices; ++place) {
     const std::optional<std::uint32_t> changed = notices_.merge(piggyback.notices[place]);
     if (changed) {
-      noticeChanged(*changed);
+      onNoticeChanged(*changed);
     }
   }
-  noteBundle(sender, piggyback.bundleInForce, now);
-  return piggyback.senderIncarnation == table_.belief(sender).incarnation;
+  reportNewerBundle(sender, piggyback.bundleInForce, now);
+  return piggyback.senderIncarnation == table_.updateAt(sender).incarnation;
 }
 
-void SwimMembership::noteBundle(MemberIndex sender, BundleVersion version, Instant now) {
+void SwimMembership::reportNewerBundle(MemberIndex sender, BundleVersion version, Instant now) {
   if (version <= bundleInForce_ || now < nextBundleReportAt_) {
     return;
   }
   const bool reported = version <= table_.reportedBundle(sender);
-  if (reported && now < nextBundleReportAt_ + kBundleReportRepeat) {
+  if (reported && now < nextBundleReportAt_ + kBundleReportRetryInterval) {
     return;
   }
   table_.setReportedBundle(sender, version);
-  nextBundleReportAt_ = now + kBundleReportSpacing;
+  nextBundleReportAt_ = now + kBundleReportInterval;
   commands_.emplace_back(NewerBundleSeen{table_.nodeAt(sender), version});
 }
 
@@ -65,25 +65,26 @@
   const std::optional<MemberIndex> receiver = table_.find(to);
   // What is believed of the receiver goes first: only the receiver can refute it.
   if (receiver && (receiverIsOutdated || table_.stateAt(*receiver) != MemberState::Alive)) {
-    piggyback.updates.push_back(table_.belief(*receiver));
+    piggyback.updates.push_back(table_.updateAt(*receiver));
   }
-  for (const std::uint32_t index : memberNews_.take(kMaximumUpdates - piggyback.updates.size())) {
-    piggyback.updates.push_back(table_.belief(index));
+  for (const std::uint32_t index :
+       memberQueue_.takeNext(kMaximumUpdates - piggyback.updates.size())) {
+    piggyback.updates.push_back(table_.updateAt(index));
   }
-  for (const std::uint32_t index : noticeNews_.take(kMaximumNotices)) {
+  for (const std::uint32_t index : noticeQueue_.takeNext(kMaximumNotices)) {
     piggyback.notices.push_back(notices_.at(index));
   }
-  addRefresh(piggyback);
+  addRefreshEntries(piggyback);
   return piggyback;
 }
 
-void SwimMembership::addRefresh(Piggyback& piggyback) {
+void SwimMembership::addRefreshEntries(Piggyback& piggyback) {
   const std::size_t updates = std::min(kMaximumUpdates, piggyback.updates.size() + kRefreshUpdates);
   for (std::size_t step = 0; step < table_.size() && piggyback.updates.size() < updates; ++step) {
     const MemberIndex index = refreshMember_;
     refreshMember_ = (refreshMember_ + 1) % static_cast<MemberIndex>(table_.size());
-    if (table_.belief(index).incarnation != Incarnation(0)) {
-      piggyback.updates.push_back(table_.belief(index));
+    if (table_.updateAt(index).incarnation != Incarnation(0)) {
+      piggyback.updates.push_back(table_.updateAt(index));
     }
   }
   const std::size_t notices = std::min(kMaximumNotices, piggyback.notices.size() + kRefreshNotices);
@@ -101,23 +102,23 @@
     return;
   }
   if (index == selfIndex_ && update.incarnation > incarnation_) {
-    adoptIncarnationAfter(update.incarnation);
+    adoptIncarnationAbove(update.incarnation);
     return;
   }
-  const bool firstContact = table_.belief(index).incarnation == Incarnation(0);
+  const bool firstContact = table_.updateAt(index).incarnation == Incarnation(0);
   const MergeResult result = table_.merge(index, update);
   if (result == MergeResult::Ignored) {
     return;
   }
   const bool isIntroduction = firstContact && update.state == MemberState::Alive;
-  memberNews_.add(index, isIntroduction ? NewsPriority::Introduction : NewsPriority::Change);
+  memberQueue_.add(index, isIntroduction ? UpdatePriority::FirstContact : UpdatePriority::Change);
   if (update.state == MemberState::Suspected) {
     suspicions_.push_back({index, now + knobs_.suspicionTimeout, std::nullopt});
   }
   if (result == MergeResult::Changed) {
     // A fleet that starts learns every life for the first time: that may take its time.
     const std::uint32_t extra = isIntroduction ? 0 : kUrgentFanOut;
-    urgentSends_ = std::min(kMaximumUrgentSends, urgentSends_ + extra);
+    pendingUrgentProbes_ = std::min(kMaximumUrgentProbes, pendingUrgentProbes_ + extra);
     commands_.emplace_back(MemberChanged{update});
   }
 }
@@ -136,7 +137,7 @@
 
 /// The others know a later incarnation of this node: incarnations come from the time of day, which
 /// was set back between two starts of the process. They would take this one for its past for ever.
-void SwimMembership::adoptIncarnationAfter(Incarnation believed) {
+void SwimMembership::adoptIncarnationAbove(Incarnation believed) {
   incarnation_ = believed.next();
   ownRefutation_ = 0;
   refute(0);
@@ -147,23 +148,23 @@
   ownRefutation_ = std::max(ownRefutation_, atLeast) + 1;
   const MemberUpdate own{self_, incarnation_, ownState_, ownRefutation_};
   const MergeResult result = table_.merge(*selfIndex_, own);
-  memberNews_.add(*selfIndex_, NewsPriority::Change);
-  urgentSends_ = std::min(kMaximumUrgentSends, urgentSends_ + kUrgentFanOut);
+  memberQueue_.add(*selfIndex_, UpdatePriority::Change);
+  pendingUrgentProbes_ = std::min(kMaximumUrgentProbes, pendingUrgentProbes_ + kUrgentFanOut);
   if (result == MergeResult::Changed) {
     commands_.emplace_back(MemberChanged{own});
   }
 }
 
-void SwimMembership::noticeChanged(std::uint32_t noticeIndex) {
-  noticeNews_.add(noticeIndex, NewsPriority::Change);
-  urgentSends_ = std::min(kMaximumUrgentSends, urgentSends_ + kUrgentFanOut);
+void SwimMembership::onNoticeChanged(std::uint32_t noticeIndex) {
+  noticeQueue_.add(noticeIndex, UpdatePriority::Change);
+  pendingUrgentProbes_ = std::min(kMaximumUrgentProbes, pendingUrgentProbes_ + kUrgentFanOut);
   commands_.emplace_back(BackendChanged{notices_.at(noticeIndex)});
 }
 
 void SwimMembership::announceBackend(std::uint32_t backendHash, bool leaving, Instant /*now*/) {
   const std::optional<std::uint32_t> changed = notices_.announce(backendHash, leaving);
   if (changed) {
-    noticeChanged(*changed);
+    onNoticeChanged(*changed);
   }
 }
 
--- a/src/membership/swim_membership.cpp
+++ b/src/membership/swim_membership.cpp
@@ -12,18 +12,18 @@
 /// partition find each other after hours at a rate that does not depend on the fleet's size.
 constexpr std::uint32_t kPeriodsPerDeadProbe = 4;
 /// Spacing of the extra probes that carry urgent news.
-constexpr Duration kUrgentSpacing = milliseconds(50);
+constexpr Duration kUrgentProbeInterval = milliseconds(50);
 /// A node tells its suspect so often that it is suspected: a lost message must not kill it.
-constexpr Duration kChallengeSpacing = milliseconds(200);
+constexpr Duration kSuspectProbeInterval = milliseconds(200);
 /// Probes made for others at one time; further requests are dropped (the origin has other helpers).
-constexpr std::size_t kMaximumRelays = 16;
+constexpr std::size_t kMaximumRelayedProbes = 16;
 
 bool isProbed(MemberState state) {
   return state == MemberState::Alive || state == MemberState::Leaving ||
          state == MemberState::Suspected;
 }
 
-bool isBelievedToRun(MemberState state) {
+bool isPresumedRunning(MemberState state) {
   return state == MemberState::Alive || state == MemberState::Leaving;
 }
 
@@ -40,11 +40,11 @@
       random_(seed ^ (std::uint64_t{self.value()} << 20)),
       table_(members_),
       selfIndex_(table_.find(self)),
-      memberNews_(knobs.updateTransmissions),
-      noticeNews_(knobs.updateTransmissions) {
+      memberQueue_(knobs.updateTransmissions),
+      noticeQueue_(knobs.updateTransmissions) {
   if (selfIndex_) {
     table_.merge(*selfIndex_, {self_, incarnation_, ownState_, ownRefutation_});
-    memberNews_.add(*selfIndex_, NewsPriority::Change);
+    memberQueue_.add(*selfIndex_, UpdatePriority::Change);
   }
   probeOrder_.resize(members_.size());
   std::iota(probeOrder_.begin(), probeOrder_.end(), std::uint16_t{0});
@@ -56,9 +56,9 @@
     members_[*known] = std::move(member);
     return true;
   }
-  if (!freePlaces_.empty()) {
-    const MemberIndex index = freePlaces_.back();
-    freePlaces_.pop_back();
+  if (!freeIndices_.empty()) {
+    const MemberIndex index = freeIndices_.back();
+    freeIndices_.pop_back();
     table_.replace(index, member.node);
     members_[index] = std::move(member);
     return true;
@@ -85,9 +85,9 @@
   }
   std::erase_if(suspicions_,
                 [&](const Suspicion& suspicion) { return suspicion.member == *index; });
-  memberNews_.remove(*index);
+  memberQueue_.remove(*index);
   table_.remove(*index);
-  freePlaces_.push_back(*index);
+  freeIndices_.push_back(*index);
 }
 
 void SwimMembership::onMembershipMessage(NodeId from, const MembershipMessage& message,
@@ -118,12 +118,12 @@
     outstanding_.reset();
     return;
   }
-  const auto relay = std::find_if(relays_.begin(), relays_.end(), [&](const Relay& candidate) {
-    return candidate.ownProbe == reply.probe;
-  });
-  if (relay != relays_.end()) {
+  const auto relay = std::find_if(
+      relayedProbes_.begin(), relayedProbes_.end(),
+      [&](const RelayedProbe& candidate) { return candidate.ownProbe == reply.probe; });
+  if (relay != relayedProbes_.end()) {
     send(relay->origin, ProbeReply{relay->originProbe, makePiggyback(relay->origin)});
-    relays_.erase(relay);
+    relayedProbes_.erase(relay);
   }
 }
 
@@ -134,28 +134,30 @@
   }
   readPiggyback(*sender, request.piggyback, now);
   const std::optional<MemberIndex> target = table_.find(request.target);
-  if (!target || relays_.size() >= kMaximumRelays) {
+  if (!target || relayedProbes_.size() >= kMaximumRelayedProbes) {
     return;
   }
   const std::uint32_t probe = nextProbe_++;
-  relays_.push_back({probe, request.probe, from, now + knobs_.probePeriod});
+  relayedProbes_.push_back({probe, request.probe, from, now + knobs_.probePeriod});
   sendProbe(*target, probe);
 }
 
 void SwimMembership::onMachineList(const std::vector<MachineListLine>& lines, Instant now) {
   for (const MachineListLine& line : lines) {
     const std::optional<MemberIndex> index = table_.find(line.node);
-    if (!index || line.incarnation < table_.belief(*index).incarnation) {
+    if (!index || line.incarnation < table_.updateAt(*index).incarnation) {
       continue;
     }
-    const MemberUpdate held = table_.belief(*index);
-    const bool sameLife = held.incarnation == line.incarnation;
+    const MemberUpdate current = table_.updateAt(*index);
+    const bool isSameIncarnation = current.incarnation == line.incarnation;
     // The list lags: about a life that is known already it may only add that it leaves or ended.
-    if (sameLife && line.state != MemberState::Terminated && line.state != MemberState::Leaving) {
+    if (isSameIncarnation && line.state != MemberState::Terminated &&
+        line.state != MemberState::Leaving) {
       continue;
     }
-    applyUpdate(*index, {line.node, line.incarnation, line.state, sameLife ? held.refutation : 0},
-                now);
+    applyUpdate(
+        *index,
+        {line.node, line.incarnation, line.state, isSameIncarnation ? current.refutation : 0}, now);
   }
 }
 
@@ -168,13 +170,13 @@
     nextPeriodAt_ = now + Duration(static_cast<Duration::rep>(random_.below(
                               static_cast<std::uint64_t>(knobs_.probePeriod.count()))));
   }
-  forgiveOwnPause(now);
+  extendDeadlinesAfterPause(now);
   lastTick_ = now;
-  std::erase_if(relays_, [now](const Relay& relay) { return relay.deadline <= now; });
+  std::erase_if(relayedProbes_, [now](const RelayedProbe& relay) { return relay.deadline <= now; });
   if (!isIsolated(now)) {
     expireSuspicions(now);
   }
-  challengeSuspects(now);
+  probeSuspects(now);
   if (outstanding_ && !outstanding_->indirectSent &&
       now - outstanding_->sentAt >= knobs_.probeTimeout) {
     sendIndirectProbes();
@@ -184,11 +186,11 @@
     startProbe(now);
     nextPeriodAt_ = std::max(nextPeriodAt_ + knobs_.probePeriod, now + knobs_.probePeriod / 2);
   }
-  spreadUrgentNews(now);
+  sendUrgentProbes(now);
 }
 
 /// A node that did not run for a while must not take its own silence for that of others.
-void SwimMembership::forgiveOwnPause(Instant now) {
+void SwimMembership::extendDeadlinesAfterPause(Instant now) {
   const Duration gap = now - lastTick_;
   if (gap < knobs_.probePeriod) {
     return;
@@ -209,11 +211,13 @@
   }
   const OutstandingProbe probe = *outstanding_;
   outstanding_.reset();
-  const MemberUpdate held = table_.belief(probe.target);
-  if (!isIsolated(now) && held.incarnation == probe.incarnation && isBelievedToRun(held.state)) {
+  const MemberUpdate current = table_.updateAt(probe.target);
+  if (!isIsolated(now) && current.incarnation == probe.incarnation &&
+      isPresumedRunning(current.state)) {
     applyUpdate(probe.target,
-                {held.node, held.incarnation, MemberState::Suspected, held.refutation}, now);
-    suspicions_.back().nextChallenge = now;
+                {current.node, current.incarnation, MemberState::Suspected, current.refutation},
+                now);
+    suspicions_.back().nextProbeAt = now;
   }
 }
 
@@ -222,11 +226,11 @@
   return now - lastHeardAt_ >= knobs_.isolationSilence;
 }
 
-void SwimMembership::challengeSuspects(Instant now) {
+void SwimMembership::probeSuspects(Instant now) {
   for (Suspicion& suspicion : suspicions_) {
-    const bool isDue = suspicion.nextChallenge && *suspicion.nextChallenge <= now;
+    const bool isDue = suspicion.nextProbeAt && *suspicion.nextProbeAt <= now;
     if (isDue && table_.stateAt(suspicion.member) == MemberState::Suspected) {
-      suspicion.nextChallenge = now + kChallengeSpacing;
+      suspicion.nextProbeAt = now + kSuspectProbeInterval;
       sendProbe(suspicion.member, nextProbe_++);
     }
   }
@@ -235,8 +239,8 @@
 void SwimMembership::expireSuspicions(Instant now) {
   for (std::size_t place = 0; place < suspicions_.size();) {
     const Suspicion suspicion = suspicions_[place];
-    const MemberUpdate held = table_.belief(suspicion.member);
-    if (held.state != MemberState::Suspected) {
+    const MemberUpdate current = table_.updateAt(suspicion.member);
+    if (current.state != MemberState::Suspected) {
       suspicions_.erase(suspicions_.begin() + static_cast<std::ptrdiff_t>(place));
       continue;
     }
@@ -245,8 +249,8 @@
       continue;
     }
     suspicions_.erase(suspicions_.begin() + static_cast<std::ptrdiff_t>(place));
-    applyUpdate(suspicion.member, {held.node, held.incarnation, MemberState::Dead, held.refutation},
-                now);
+    applyUpdate(suspicion.member,
+                {current.node, current.incarnation, MemberState::Dead, current.refutation}, now);
   }
 }
 
@@ -260,7 +264,7 @@
     return;
   }
   const std::uint32_t probe = nextProbe_++;
-  outstanding_ = OutstandingProbe{probe, *target, table_.belief(*target).incarnation, now, false};
+  outstanding_ = OutstandingProbe{probe, *target, table_.updateAt(*target).incarnation, now, false};
   sendProbe(*target, probe);
 }
 
@@ -275,7 +279,7 @@
   outstanding_->indirectSent = true;
   const NodeId target = table_.nodeAt(outstanding_->target);
   for (std::size_t count = 0; count < knobs_.indirectProbes; ++count) {
-    const std::optional<MemberIndex> helper = randomMember(isBelievedToRun);
+    const std::optional<MemberIndex> helper = randomMember(isPresumedRunning);
     if (helper && *helper != outstanding_->target) {
       const NodeId to = table_.nodeAt(*helper);
       send(to, IndirectProbeRequest{outstanding_->probe, target, makePiggyback(to)});
@@ -285,13 +289,13 @@
 
 /// Urgent news does not wait for the next period: a few extra probes, spaced out, so that even a
 /// flood of news (a zone lost at once) costs each node a bounded rate.
-void SwimMembership::spreadUrgentNews(Instant now) {
-  if (urgentSends_ == 0 || now < nextUrgentAt_) {
+void SwimMembership::sendUrgentProbes(Instant now) {
+  if (pendingUrgentProbes_ == 0 || now < nextUrgentProbeAt_) {
     return;
   }
-  --urgentSends_;
-  nextUrgentAt_ = now + kUrgentSpacing;
-  const std::optional<MemberIndex> target = randomMember(isBelievedToRun);
+  --pendingUrgentProbes_;
+  nextUrgentProbeAt_ = now + kUrgentProbeInterval;
+  const std::optional<MemberIndex> target = randomMember(isPresumedRunning);
   if (target) {
     sendProbe(*target, nextProbe_++);
   }
@@ -322,7 +326,7 @@
   }
 }
 
-std::optional<MemberIndex> SwimMembership::randomMember(bool (*wanted)(MemberState)) {
+std::optional<MemberIndex> SwimMembership::randomMember(bool (*predicate)(MemberState)) {
   if (members_.empty()) {
     return std::nullopt;
   }
@@ -330,7 +334,7 @@
   for (std::size_t step = 0; step < members_.size(); ++step) {
     // Steps by a random order, so that members after a dead range are not preferred.
     const MemberIndex candidate = probeOrder_[(start + step) % members_.size()];
-    if (candidate != selfIndex_ && wanted(table_.stateAt(candidate))) {
+    if (candidate != selfIndex_ && predicate(table_.stateAt(candidate))) {
       return candidate;
     }
   }
@@ -348,7 +352,7 @@
 
 Incarnation SwimMembership::incarnationOf(NodeId node) const {
   const std::optional<MemberIndex> index = table_.find(node);
-  return index ? table_.belief(*index).incarnation : Incarnation(0);
+  return index ? table_.updateAt(*index).incarnation : Incarnation(0);
 }
 
 std::vector<MembershipCommand> SwimMembership::takeCommands() {
--- a/src/membership/swim_membership.h
+++ b/src/membership/swim_membership.h
@@ -1,7 +1,7 @@
-/// \file SWIM-like failure detection: one probe a period in a random order, indirect probes,
-/// suspicion with refutation, and news that rides on probes and replies.
+/// \file SWIM failure detection: one probe per period in random order, indirect probes, suspicion
+/// with refutation, and updates piggybacked on probes and replies.
 ///
-/// All rates are constants: they do not grow with the fleet.
+/// All message rates are constant, independent of the number of nodes.
 #pragma once
 
 #include <optional>
@@ -14,7 +14,7 @@
 
 namespace gorsetrail::membership {
 
-/// See `membership_service.h` for the contract.
+/// Implements `MembershipService` with SWIM.
 class SwimMembership final : public MembershipService {
  public:
   SwimMembership(NodeId self, Incarnation incarnation, std::vector<Member> members,
@@ -35,23 +35,23 @@
   [[nodiscard]] std::vector<MembershipCommand> takeCommands() override;
 
  private:
-  /// The probe of the current period.
   struct OutstandingProbe {
     std::uint32_t probe = 0;
     MemberIndex target = 0;
-    Incarnation incarnation;  ///< Life that was probed.
+    Incarnation incarnation;  ///< Incarnation that was probed.
     Instant sentAt;
     bool indirectSent = false;
   };
-  /// A suspicion that becomes Dead unless it is refuted.
+  /// Expires to `Dead` at `deadline` unless the member refutes it.
   struct Suspicion {
     MemberIndex member = 0;
     Instant deadline;
-    /// When this node tells the suspect again; only for suspicions from its own probe.
-    std::optional<Instant> nextChallenge;
+    /// Time of the next probe that lets the member refute; only for suspicions from this node's own
+    /// probe.
+    std::optional<Instant> nextProbeAt;
   };
-  /// A probe made for another node.
-  struct Relay {
+  /// A probe sent on behalf of `origin`.
+  struct RelayedProbe {
     std::uint32_t ownProbe = 0;
     std::uint32_t originProbe = 0;
     NodeId origin;
@@ -62,30 +62,31 @@
   void handle(NodeId from, const ProbeReply& reply, Instant now);
   void handle(NodeId from, const IndirectProbeRequest& request, Instant now);
   bool readPiggyback(MemberIndex sender, const Piggyback& piggyback, Instant now);
-  void noteBundle(MemberIndex sender, BundleVersion version, Instant now);
-  /// \param receiverIsOutdated the receiver spoke as an incarnation before the one believed in.
+  void reportNewerBundle(MemberIndex sender, BundleVersion version, Instant now);
+  /// \param receiverIsOutdated the receiver's last message carried an older incarnation than the
+  /// one known here.
   Piggyback makePiggyback(NodeId to, bool receiverIsOutdated = false);
-  void addRefresh(Piggyback& piggyback);
+  void addRefreshEntries(Piggyback& piggyback);
 
   void applyUpdate(MemberIndex index, const MemberUpdate& update, Instant now);
   void applyUpdateAboutSelf(const MemberUpdate& update);
-  void adoptIncarnationAfter(Incarnation believed);
+  void adoptIncarnationAbove(Incarnation believed);
   void refute(std::uint32_t atLeast);
-  void noticeChanged(std::uint32_t noticeIndex);
+  void onNoticeChanged(std::uint32_t noticeIndex);
 
-  void forgiveOwnPause(Instant now);
+  void extendDeadlinesAfterPause(Instant now);
   void expireProbe(Instant now);
   void extendSuspicions(Duration span);
   [[nodiscard]] bool isIsolated(Instant now) const;
   void expireSuspicions(Instant now);
-  void challengeSuspects(Instant now);
+  void probeSuspects(Instant now);
   void startProbe(Instant now);
   void probeDeadMember();
-  void spreadUrgentNews(Instant now);
+  void sendUrgentProbes(Instant now);
   void sendProbe(MemberIndex target, std::uint32_t probe);
   void sendIndirectProbes();
   std::optional<MemberIndex> nextProbeTarget();
-  std::optional<MemberIndex> randomMember(bool (*wanted)(MemberState));
+  std::optional<MemberIndex> randomMember(bool (*predicate)(MemberState));
   void shuffleProbeOrder();
   void send(NodeId to, MembershipMessage message);
 
@@ -100,13 +101,13 @@
   std::uint32_t ownRefutation_ = 0;
   BundleVersion bundleInForce_;
 
-  UpdateQueue memberNews_;
-  UpdateQueue noticeNews_;
+  UpdateQueue memberQueue_;
+  UpdateQueue noticeQueue_;
   BackendNotices notices_;
   MemberIndex refreshMember_ = 0;
   std::uint32_t refreshNotice_ = 0;
-  std::uint32_t urgentSends_ = 0;
-  Instant nextUrgentAt_;
+  std::uint32_t pendingUrgentProbes_ = 0;
+  Instant nextUrgentProbeAt_;
   Instant nextBundleReportAt_;
 
   std::vector<std::uint16_t> probeOrder_;
@@ -115,10 +116,10 @@
   std::uint32_t periods_ = 0;
   std::optional<OutstandingProbe> outstanding_;
   std::vector<Suspicion> suspicions_;
-  std::vector<Relay> relays_;
-  std::vector<MemberIndex> freePlaces_;  ///< Of members that were removed.
+  std::vector<RelayedProbe> relayedProbes_;
+  std::vector<MemberIndex> freeIndices_;  ///< Indices of removed members.
   bool started_ = false;
-  Instant lastHeardAt_;  ///< Any message from any node.
+  Instant lastHeardAt_;  ///< Time of the last message from any node.
   Instant lastTick_;
   Instant nextPeriodAt_;
   std::vector<MembershipCommand> commands_;
--- a/src/membership/update_queue.cpp
+++ b/src/membership/update_queue.cpp
@@ -4,32 +4,32 @@
 
 namespace gorsetrail::membership {
 
-void UpdateQueue::add(std::uint32_t item, NewsPriority priority) {
-  const std::uint32_t stamp = nextStamp_++;
+void UpdateQueue::add(std::uint32_t item, UpdatePriority priority) {
+  const std::uint32_t sequence = nextSequence_++;
   for (Pending& pending : pending_) {
     if (pending.item == item) {
-      pending = {item, stamp, 0, std::max(priority, pending.priority)};
+      pending = {item, sequence, 0, std::max(priority, pending.priority)};
       return;
     }
   }
-  pending_.push_back({item, stamp, 0, priority});
+  pending_.push_back({item, sequence, 0, priority});
 }
 
 void UpdateQueue::remove(std::uint32_t item) {
   std::erase_if(pending_, [item](const Pending& pending) { return pending.item == item; });
 }
 
-bool UpdateQueue::goesBefore(const Pending& left, const Pending& right) {
+bool UpdateQueue::precedes(const Pending& left, const Pending& right) {
   if (left.priority != right.priority) {
     return left.priority > right.priority;
   }
-  return left.sent != right.sent ? left.sent < right.sent : left.stamp > right.stamp;
+  return left.sent != right.sent ? left.sent < right.sent : left.sequence > right.sequence;
 }
 
-std::vector<std::uint32_t> UpdateQueue::take(std::size_t limit) {
+std::vector<std::uint32_t> UpdateQueue::takeNext(std::size_t limit) {
   const std::size_t count = std::min(limit, pending_.size());
   const auto middle = pending_.begin() + static_cast<std::ptrdiff_t>(count);
-  std::partial_sort(pending_.begin(), middle, pending_.end(), goesBefore);
+  std::partial_sort(pending_.begin(), middle, pending_.end(), precedes);
   std::vector<std::uint32_t> items;
   items.reserve(count);
   for (auto pending = pending_.begin(); pending != middle; ++pending) {
@@ -41,7 +41,7 @@
 }
 
 bool UpdateQueue::isFinished(const Pending& pending) const {
-  const bool isChange = pending.priority == NewsPriority::Change;
+  const bool isChange = pending.priority == UpdatePriority::Change;
   return pending.sent >= (isChange ? transmissions_ : std::max<std::size_t>(1, transmissions_ / 3));
 }
 
--- a/src/membership/update_queue.h
+++ b/src/membership/update_queue.h
@@ -1,4 +1,4 @@
-/// \file Which items still have to be spread, those sent least often first.
+/// \file Queue of updates to disseminate, those transmitted least often first.
 #pragma once
 
 #include <cstddef>
@@ -7,42 +7,40 @@
 
 namespace gorsetrail::membership {
 
-/// How soon an item has to be spread.
-enum class NewsPriority : std::uint8_t {
-  Introduction,  ///< A life met for the first time: a fleet that starts has hundreds of them.
-  Change,        ///< Something that others must act on; goes before every introduction.
+enum class UpdatePriority : std::uint8_t {
+  FirstContact,  ///< First contact with an incarnation; frequent while a fleet starts.
+  Change,        ///< A change that other nodes must act on; sent before every first contact.
 };
 
-/// Items are dense indices (of a member or of a notice). An item leaves the queue after a fixed
-/// number of transmissions, so that the cost of one piece of news is bounded.
+/// Items are indices of members or notices. An item leaves the queue after a fixed number of
+/// transmissions, which bounds the cost of an update.
 class UpdateQueue {
  public:
-  /// \param transmissions how often each item is sent.
+  /// \param transmissions number of times that an item is sent.
   explicit UpdateQueue(std::size_t transmissions) : transmissions_(transmissions) {}
 
-  /// Queues an item, or starts its transmissions again when it is queued already. Introductions
-  /// are sent a third as often as changes.
-  void add(std::uint32_t item, NewsPriority priority);
-  /// \return at most `limit` items: changes first, then those sent least often, then newer ones
-  /// before older ones; counts one transmission of each.
-  std::vector<std::uint32_t> take(std::size_t limit);
-  /// Drops an item that need not be spread any more.
+  /// Queues an item, or resets its transmission count if it is queued already. First contacts are
+  /// sent a third as often as changes.
+  void add(std::uint32_t item, UpdatePriority priority);
+  /// \return at most `limit` items, changes first, then those sent least often, then the newest.
+  /// Counts one transmission of each.
+  std::vector<std::uint32_t> takeNext(std::size_t limit);
   void remove(std::uint32_t item);
   [[nodiscard]] bool empty() const { return pending_.empty(); }
 
  private:
   struct Pending {
     std::uint32_t item;
-    std::uint32_t stamp;
+    std::uint32_t sequence;
     std::uint16_t sent;
-    NewsPriority priority;
+    UpdatePriority priority;
   };
-  static bool goesBefore(const Pending& left, const Pending& right);
+  static bool precedes(const Pending& left, const Pending& right);
   [[nodiscard]] bool isFinished(const Pending& pending) const;
   void dropFinished();
 
   std::size_t transmissions_;
-  std::uint32_t nextStamp_ = 0;
+  std::uint32_t nextSequence_ = 0;
   std::vector<Pending> pending_;
 };
 
--- a/src/quota/borrowed_shares.cpp
+++ b/src/quota/borrowed_shares.cpp
@@ -7,46 +7,48 @@
 namespace {
 
 constexpr double kMicrosecondsPerSecond = 1e6;
-constexpr double kHalf = 0.5;
+constexpr double kQuorumShare = 0.5;
 
 }  // namespace
 
 void BorrowedShares::integrateTo(Instant moment) {
   if (moment > integratedTo_) {
     const auto passed = static_cast<double>((moment - integratedTo_).count());
-    integral_ += std::min(sum_, 1.0) * passed / kMicrosecondsPerSecond;
+    shareSeconds_ += std::min(sum_, 1.0) * passed / kMicrosecondsPerSecond;
     integratedTo_ = moment;
   }
 }
 
 void BorrowedShares::advance(Instant now) {
-  while (nextEnd_ <= now) {
-    integrateTo(nextEnd_);
-    const Instant ended = nextEnd_;
-    std::erase_if(byNode_, [ended](const auto& entry) { return entry.second.until <= ended; });
-    nextEnd_ = Instant::max();
-    const double before = std::exchange(sum_, 0);
-    for (const auto& [node, lend] : byNode_) {
-      nextEnd_ = std::min(nextEnd_, lend.until);
-      sum_ += lend.share;
+  while (nextExpiry_ <= now) {
+    integrateTo(nextExpiry_);
+    const Instant expiry = nextExpiry_;
+    std::erase_if(byNode_,
+                  [expiry](const auto& entry) { return entry.second.expiresAt <= expiry; });
+    nextExpiry_ = Instant::max();
+    const double previousSum = std::exchange(sum_, 0);
+    for (const auto& [node, lease] : byNode_) {
+      nextExpiry_ = std::min(nextExpiry_, lease.expiresAt);
+      sum_ += lease.share;
     }
-    if (before >= kHalf && sum_ < kHalf) {
-      ++losses_;
-      secondsAtLoss_ = integral_;
+    if (previousSum >= kQuorumShare && sum_ < kQuorumShare) {
+      ++quorumLosses_;
+      shareSecondsAtQuorumLoss_ = shareSeconds_;
     }
   }
   integrateTo(now);
 }
 
-void BorrowedShares::onLend(const std::string& node, double share, Instant until, Instant now) {
+void BorrowedShares::addLease(const std::string& node, double share, Instant expiresAt,
+                              Instant now) {
   advance(now);
-  if (until <= now) {
+  if (expiresAt <= now) {
     return;
   }
-  Lend& lend = byNode_[node];
-  sum_ += share - lend.share;
-  lend = {share, std::max(until, lend.until)};
-  nextEnd_ = std::min(nextEnd_, lend.until);
+  Lease& lease = byNode_[node];
+  sum_ += share - lease.share;
+  lease = {share, std::max(expiresAt, lease.expiresAt)};
+  nextExpiry_ = std::min(nextExpiry_, lease.expiresAt);
 }
 
 double BorrowedShares::share(Instant now) {
@@ -54,14 +56,14 @@
   return std::clamp(sum_, 0.0, 1.0);
 }
 
-std::uint64_t BorrowedShares::losses(Instant now) {
+std::uint64_t BorrowedShares::quorumLosses(Instant now) {
   advance(now);
-  return losses_;
+  return quorumLosses_;
 }
 
 double BorrowedShares::shareSeconds(Instant now) {
   advance(now);
-  return integral_;
+  return shareSeconds_;
 }
 
 }  // namespace gorsetrail::quota
--- a/src/quota/borrowed_shares.h
+++ b/src/quota/borrowed_shares.h
@@ -1,4 +1,4 @@
-/// \file What a coordinator has borrowed of the limits of one partition. No I/O, no clock.
+/// \file Share leases that a coordinator holds for one partition. Does no I/O and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -9,37 +9,39 @@
 
 namespace gorsetrail::quota {
 
-/// Sums the shares that nodes lend, and their integral over time: a tenant's tokens are its rate
-/// times that integral, whatever nodes came and went in between.
+/// Sums the unexpired leases and integrates the sum over time. A tenant's tokens accrue as its rate
+/// times that integral, regardless of which nodes joined or left.
 class BorrowedShares {
  public:
-  /// A node's share, until that moment. Times never go back between calls.
-  void onLend(const std::string& node, double share, Instant until, Instant now);
-  /// \return the part of each limit that is borrowed now, 0 to 1.
+  /// Adds or renews a node's lease, which ends at `expiresAt`. `now` must not decrease between
+  /// calls.
+  void addLease(const std::string& node, double share, Instant expiresAt, Instant now);
+  /// \return the fraction of each limit that is leased now, 0 to 1.
   double share(Instant now);
-  /// \return how often the shares fell below half: others may have granted since.
-  std::uint64_t losses(Instant now);
-  /// \return the integral of `share` at the last time that they did, in seconds.
-  [[nodiscard]] double secondsAtLoss() const { return secondsAtLoss_; }
+  /// \return how often the leased fraction fell below one half; another coordinator may have
+  /// granted tokens since then.
+  std::uint64_t quorumLosses(Instant now);
+  /// \return the value of `shareSeconds` when the fraction last fell below one half, in seconds.
+  [[nodiscard]] double shareSecondsAtQuorumLoss() const { return shareSecondsAtQuorumLoss_; }
   /// \return the integral of `share` since the start, in seconds.
   double shareSeconds(Instant now);
 
  private:
-  struct Lend {
+  struct Lease {
     double share = 0;
-    Instant until;
+    Instant expiresAt;
   };
   void advance(Instant now);
   void integrateTo(Instant moment);
 
-  std::unordered_map<std::string, Lend> byNode_;
+  std::unordered_map<std::string, Lease> byNode_;
   double sum_ = 0;
-  double integral_ = 0;
-  std::uint64_t losses_ = 0;
-  double secondsAtLoss_ = 0;
+  double shareSeconds_ = 0;
+  std::uint64_t quorumLosses_ = 0;
+  double shareSecondsAtQuorumLoss_ = 0;
   Instant integratedTo_{};
-  /// No lend ends before this moment.
-  Instant nextEnd_ = Instant::max();
+  /// No lease expires before this time.
+  Instant nextExpiry_ = Instant::max();
 };
 
 }  // namespace gorsetrail::quota
--- a/src/quota/fleet_view.h
+++ b/src/quota/fleet_view.h
@@ -1,4 +1,4 @@
-/// \file What quotas need to know of the fleet.
+/// \file What the quota service requires from the membership and network layers.
 #pragma once
 
 #include <cstdint>
@@ -11,22 +11,23 @@
 
 namespace gorsetrail::quota {
 
-/// What the service needs to know of the fleet; asked when needed.
+/// Access to members, tenants and the network; queried on each use.
 class QuotaFleet {
  public:
   virtual ~QuotaFleet() = default;
-  /// \return addresses of the nodes that may coordinate a partition, best first; nodes that agree
-  /// on the members agree on the first.
+  /// \return addresses of the candidate coordinators of a partition, best first. Nodes with the
+  /// same member list agree on the first.
   [[nodiscard]] virtual std::vector<std::string> coordinatorsOf(std::uint32_t partition) const = 0;
-  /// \return addresses of all members, this one included.
+  /// \return addresses of all members, including this node.
   [[nodiscard]] virtual std::vector<std::string> members() const = 0;
-  /// \return this node's part of each limit, 0 to 1; 0 before the members are known.
+  /// \return this node's fraction of each limit, 0 to 1; 0 until the members are known.
   [[nodiscard]] virtual double ownShare() const = 0;
-  /// \return the tenants in force; null when there are none.
+  /// \return the active tenants; null if there are none.
   [[nodiscard]] virtual std::shared_ptr<const tenant::TenantDirectory> tenants() const = 0;
-  /// Sends a message; it may be lost. Never calls back into the service.
+  /// Sends a message, which may be lost. Must not call back into the service.
   virtual void send(const std::string& to, const QuotaMessage& message) = 0;
-  /// Another node than before decides for a partition. Never calls back into the service.
+  /// Called when a different node answers as coordinator of a partition. Must not call back into
+  /// the service.
   virtual void onCoordinatorChanged(std::uint32_t partition, const std::string& address) = 0;
 };
 
--- a/src/quota/quota_admission.h
+++ b/src/quota/quota_admission.h
@@ -1,4 +1,4 @@
-/// \file What requests ask of quotas.
+/// \file Admission control interface for rate limits of tenants.
 #pragma once
 
 #include <cstdint>
@@ -11,43 +11,43 @@
 
 namespace gorsetrail::quota {
 
-/// What is lost when a request is turned away.
+/// Progress of the program that sent a request; programs already running have priority.
 enum class ProgramStage : std::uint8_t {
-  Beginning,  ///< Nothing of the program has run yet.
-  Begun,      ///< Requests before it would be lost with it.
+  Beginning,  ///< The program's first request; rejecting it loses no work.
+  Begun,      ///< A later request; rejecting it loses the program's earlier work.
 };
 
 enum class QuotaVerdict : std::uint8_t {
   Granted,    ///< The request may be sent to a replica.
-  OverLimit,  ///< The tenant has used what it may.
-  Unknown,    ///< No coordinator could say anything, and this node's own share is spent or lent.
+  OverLimit,  ///< The tenant has reached its limit.
+  Unknown,    ///< No coordinator decided, and this node's own share is leased out or used up.
 };
 
-/// Whom a request's token was asked of, for log lines.
+/// How an undecided request was processed, for log lines.
 struct QuotaTrace {
-  std::uint32_t partition = 0;  ///< Of tenants, see `quota_coordinator`.
-  std::string coordinator;      ///< Asked last; empty: none was known.
-  std::string lastAnswerBy;     ///< Coordinator that last answered for the partition; may be empty.
-  std::optional<Duration> lastAnswerAge;  ///< Nothing: none ever answered this process.
-  bool lastAnswerDecided = false;         ///< Else it had not borrowed enough.
-  Duration waited{};                      ///< By the request.
+  std::uint32_t partition = 0;  ///< Partition of the tenant.
+  std::string coordinator;      ///< Coordinator asked last; empty if none was known.
+  std::string lastAnswerBy;     ///< Coordinator that last replied for the partition; may be empty.
+  std::optional<Duration> lastAnswerAge;  ///< Nothing if none has replied to this process.
+  bool lastAnswerDecided = false;  ///< False if that coordinator did not hold a sufficient share.
+  Duration waited{};               ///< Time the request has waited.
 };
 
 struct QuotaDecision {
   QuotaVerdict verdict = QuotaVerdict::Granted;
-  Duration retryAfter{};              ///< When the tenant can probably be served.
-  std::optional<QuotaTrace> trace{};  ///< With `Unknown`.
+  Duration retryAfter{};              ///< Suggested delay before the caller retries.
+  std::optional<QuotaTrace> trace{};  ///< Set for `Unknown`.
 };
 
-/// Decides request by request whether a tenant is within its limit.
+/// Decides for each request whether its tenant is within its limit.
 class QuotaAdmission {
  public:
   using Callback = std::function<void(QuotaDecision)>;
 
   virtual ~QuotaAdmission() = default;
-  /// Calls back once, at once when the decision needs no other node.
+  /// Calls `callback` exactly once, synchronously if no other node has to be asked.
   virtual void admit(const tenant::Tenant& tenant, ProgramStage stage, Callback callback) = 0;
-  /// A granted request was not sent to any replica after all.
+  /// Returns the token of a granted request that was not sent to any replica.
   virtual void giveBack(const std::string& tenant) = 0;
 };
 
--- a/src/quota/quota_coordinator.cpp
+++ b/src/quota/quota_coordinator.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// A node that is asked for tokens goes on borrowing for so long, by choice of those who ask.
-constexpr Duration kAskedCoordinationTime = seconds(1);
+constexpr Duration kCoordinationTimeout = seconds(1);
 /// One in a hundred datagrams may be lost: each message of a hand-over is sent so often.
 constexpr int kHandOverCopies = 2;
 
@@ -22,59 +22,60 @@
 }  // namespace
 
 QuotaCoordinator::QuotaCoordinator(QuotaFleet& fleet, const QuotaKnobs& knobs,
-                                   std::string ownAddress, std::uint64_t life,
+                                   std::string ownAddress, std::uint64_t incarnation,
                                    std::function<Instant()> clock, RandomSource& random, Send send)
     : fleet_(fleet),
       knobs_(knobs),
       ownAddress_(std::move(ownAddress)),
-      life_(life),
+      incarnation_(incarnation),
       clock_(std::move(clock)),
       random_(random),
       send_(std::move(send)) {}
 
-void QuotaCoordinator::onLendReply(const std::string& from, const LendReply& reply) {
-  const auto found = coordinations_.find(reply.partition);
-  if (found == coordinations_.end() || found->second.round != reply.round) {
+void QuotaCoordinator::onLeaseGrant(const std::string& from, const LeaseGrant& reply) {
+  const auto found = partitionStates_.find(reply.partition);
+  if (found == partitionStates_.end() || found->second.round != reply.round) {
     return;  // To an earlier round, or to an earlier life.
   }
   // Counted from before the request was sent, so that it ends here before it ends there.
-  found->second.pool->onLend(from, reply.share, found->second.roundAt + knobs_.lendTime, clock_());
+  found->second.pool->addLease(from, reply.share,
+                               found->second.roundStartedAt + knobs_.leaseDuration, clock_());
 }
 
-QuotaCoordinator::Coordination& QuotaCoordinator::coordinationOf(std::uint32_t partition) {
-  Coordination& coordination = coordinations_[partition];
-  if (!coordination.pool) {
+QuotaCoordinator::PartitionState& QuotaCoordinator::stateOf(std::uint32_t partition) {
+  PartitionState& state = partitionStates_[partition];
+  if (!state.pool) {
     // Numbers of rounds start at random: a reply to an earlier life must not fit.
-    coordination.round = (random_.below(UINT32_MAX) + 1) << kRoundBits;
-    coordination.pool = std::make_unique<QuotaPool>(knobs_, life_ ^ coordination.round);
+    state.round = (random_.below(UINT32_MAX) + 1) << kRoundBits;
+    state.pool = std::make_unique<QuotaPool>(knobs_, incarnation_ ^ state.round);
   }
-  return coordination;
+  return state;
 }
 
 void QuotaCoordinator::onTokenRequest(const std::string& from, std::uint32_t partition,
                                       const TokenRequest& request) {
   const Instant now = clock_();
-  if (!coordinates_ || givesWay(partition)) {
+  if (!mayCoordinate_ || hasYielded(partition)) {
     TokenReply undecided;
-    undecided.number = request.number;
-    if (givesWay(partition)) {
-      undecided.coordinator = givenWay_[partition].rival;
+    undecided.requestId = request.requestId;
+    if (hasYielded(partition)) {
+      undecided.coordinator = yields_[partition].competitor;
     }
     send_(from, undecided);
     return;
   }
-  Coordination& coordination = coordinationOf(partition);
-  const bool wasIdle = coordination.neededUntil <= now;
-  coordination.neededUntil = now + kAskedCoordinationTime;
-  if (wasIdle || now < coordination.hurriesUntil) {
-    coordinate(partition);
+  PartitionState& state = stateOf(partition);
+  const bool wasIdle = state.activeUntil <= now;
+  state.activeUntil = now + kCoordinationTimeout;
+  if (wasIdle || now < state.fastRenewalUntil) {
+    requestLeasesIfDue(partition);
   }
   const auto tenants = fleet_.tenants();
   const tenant::Tenant* const tenant = tenants ? tenants->find(request.tenant) : nullptr;
   TokenReply reply;
-  reply.number = request.number;
+  reply.requestId = request.requestId;
   if (tenant != nullptr && tenant->quota.isLimited()) {
-    reply = coordination.pool->grant(request, tenant->quota, now);
+    reply = state.pool->grant(request, tenant->quota, now);
   }
   ++tokenReplies_;
   send_(from, reply);
@@ -82,45 +83,45 @@
 
 void QuotaCoordinator::onTick() {
   const Instant now = clock_();
-  repeatEnds();
+  repeatReleases();
   const auto tenants = fleet_.tenants();
-  if (!coordinates_ || !tenants || !tenants->hasLimits()) {
+  if (!mayCoordinate_ || !tenants || !tenants->hasLimits()) {
     return;
   }
   for (std::uint32_t partition = 0; partition < knobs_.partitions; ++partition) {
     const std::vector<std::string> candidates = fleet_.coordinatorsOf(partition);
     const bool isFirst = !candidates.empty() && candidates.front() == ownAddress_;
-    const auto known = coordinations_.find(partition);
-    const bool isAsked = known != coordinations_.end() && now < known->second.neededUntil;
-    if ((isFirst || isAsked) && !givesWay(partition)) {
-      coordinate(partition);
+    const auto known = partitionStates_.find(partition);
+    const bool isAsked = known != partitionStates_.end() && now < known->second.activeUntil;
+    if ((isFirst || isAsked) && !hasYielded(partition)) {
+      requestLeasesIfDue(partition);
     }
   }
 }
 
-void QuotaCoordinator::end() {
-  if (!coordinates_) {
+void QuotaCoordinator::resign() {
+  if (!mayCoordinate_) {
     return;
   }
-  coordinates_ = false;
-  LendEnds ends;
-  for (auto& [partition, coordination] : coordinations_) {
-    ends.push_back({partition, coordination.round});
+  mayCoordinate_ = false;
+  LeaseReleases releases;
+  for (auto& [partition, state] : partitionStates_) {
+    releases.push_back({partition, state.round});
     for (const std::string& candidate : fleet_.coordinatorsOf(partition)) {
       if (candidate != ownAddress_) {
-        handOver(partition, coordination, candidate);
+        handOver(partition, state, candidate);
         break;
       }
     }
   }
   // Replies that are still on their way find nothing to count for.
-  coordinations_.clear();
-  announceEnds(ends);
+  partitionStates_.clear();
+  broadcastReleases(releases);
 }
 
-void QuotaCoordinator::handOver(std::uint32_t partition, Coordination& coordination,
+void QuotaCoordinator::handOver(std::uint32_t partition, PartitionState& state,
                                 const std::string& successor) {
-  for (const HandOver& message : coordination.pool->handOver(partition, clock_())) {
+  for (const HandOver& message : state.pool->exportAccounts(partition, clock_())) {
     for (int copy = 0; copy < kHandOverCopies; ++copy) {
       send_(successor, message);
     }
@@ -128,82 +129,85 @@
 }
 
 void QuotaCoordinator::onHandOver(const std::string& from, const HandOver& handOver) {
-  onRivalEnd(from, handOver.partition);
-  if (coordinates_ && handOver.partition < knobs_.partitions && !givesWay(handOver.partition)) {
+  onCompetitorRelease(from, handOver.partition);
+  if (mayCoordinate_ && handOver.partition < knobs_.partitions && !hasYielded(handOver.partition)) {
     const Instant now = clock_();
-    Coordination& coordination = coordinationOf(handOver.partition);
-    coordination.pool->takeOver(handOver, now);
-    coordination.neededUntil = now + kAskedCoordinationTime;
-    coordination.hurriesUntil = now + knobs_.lendPeriod;
-    coordinate(handOver.partition);
+    PartitionState& state = stateOf(handOver.partition);
+    state.pool->importAccounts(handOver, now);
+    state.activeUntil = now + kCoordinationTimeout;
+    state.fastRenewalUntil = now + knobs_.leaseRenewalInterval;
+    requestLeasesIfDue(handOver.partition);
   }
 }
 
-void QuotaCoordinator::announceEnds(const LendEnds& ends) {
-  for (const LendEnd& end : ends) {
-    tellAll(end);
-    repeatedEnds_.push_back({end, knobs_.repeatedEnds});
+void QuotaCoordinator::broadcastReleases(const LeaseReleases& releases) {
+  for (const LeaseRelease& release : releases) {
+    broadcast(release);
+    pendingReleases_.push_back({release, knobs_.releaseRepeats});
   }
 }
 
-void QuotaCoordinator::tellAll(const LendEnd& end) {
+void QuotaCoordinator::broadcast(const LeaseRelease& release) {
   for (const std::string& member : fleet_.members()) {
-    send_(member, end);
+    send_(member, release);
   }
 }
 
-void QuotaCoordinator::repeatEnds() {
-  for (RepeatedEnd& repeated : repeatedEnds_) {
-    tellAll(repeated.end);
-    --repeated.left;
+void QuotaCoordinator::repeatReleases() {
+  for (PendingRelease& pending : pendingReleases_) {
+    broadcast(pending.release);
+    --pending.remaining;
   }
-  std::erase_if(repeatedEnds_, [](const RepeatedEnd& repeated) { return repeated.left == 0; });
+  std::erase_if(pendingReleases_,
+                [](const PendingRelease& pending) { return pending.remaining == 0; });
 }
 
-bool QuotaCoordinator::givesWay(std::uint32_t partition) const {
-  const auto found = givenWay_.find(partition);
-  return found != givenWay_.end() && clock_() - found->second.heardAt < knobs_.wayTime;
+bool QuotaCoordinator::hasYielded(std::uint32_t partition) const {
+  const auto found = yields_.find(partition);
+  return found != yields_.end() && clock_() - found->second.heardAt < knobs_.yieldTimeout;
 }
 
-void QuotaCoordinator::onRivalEnd(const std::string& from, std::uint32_t partition) {
-  const auto way = givenWay_.find(partition);
-  if (way != givenWay_.end() && way->second.rival == from) {
-    givenWay_.erase(way);
+void QuotaCoordinator::onCompetitorRelease(const std::string& from, std::uint32_t partition) {
+  const auto yield = yields_.find(partition);
+  if (yield != yields_.end() && yield->second.competitor == from) {
+    yields_.erase(yield);
   }
 }
 
-void QuotaCoordinator::considerRival(const std::string& rival, const LendRequest& request) {
-  if (rival == ownAddress_) {
+void QuotaCoordinator::onCompetingLeaseRequest(const std::string& competitor,
+                                               const LeaseRequest& request) {
+  if (competitor == ownAddress_) {
     return;
   }
-  const auto own = coordinations_.find(request.partition);
-  const bool ownHoldsHalf =
-      own != coordinations_.end() && own->second.pool->share(clock_()) >= knobs_.decidingShare;
-  const bool comesFirst = rankOf(request.partition, rival) > rankOf(request.partition, ownAddress_);
-  if (ownHoldsHalf ? !(request.holdsHalf && comesFirst) : !(request.holdsHalf || comesFirst)) {
+  const auto own = partitionStates_.find(request.partition);
+  const bool ownHasQuorum =
+      own != partitionStates_.end() && own->second.pool->share(clock_()) >= knobs_.quorumShare;
+  const bool comesFirst =
+      rankOf(request.partition, competitor) > rankOf(request.partition, ownAddress_);
+  if (ownHasQuorum ? !(request.hasQuorum && comesFirst) : !(request.hasQuorum || comesFirst)) {
     return;
   }
-  givenWay_[request.partition] = {rival, clock_()};
-  if (own != coordinations_.end()) {
-    const LendEnd end{request.partition, own->second.round};
-    handOver(request.partition, own->second, rival);
-    coordinations_.erase(own);
-    announceEnds({end});
+  yields_[request.partition] = {competitor, clock_()};
+  if (own != partitionStates_.end()) {
+    const LeaseRelease release{request.partition, own->second.round};
+    handOver(request.partition, own->second, competitor);
+    partitionStates_.erase(own);
+    broadcastReleases({release});
   }
 }
 
-void QuotaCoordinator::coordinate(std::uint32_t partition) {
+void QuotaCoordinator::requestLeasesIfDue(std::uint32_t partition) {
   const Instant now = clock_();
-  Coordination& coordination = coordinationOf(partition);
+  PartitionState& state = stateOf(partition);
   const Duration period =
-      now < coordination.hurriesUntil ? knobs_.hurriedLendPeriod : knobs_.lendPeriod;
-  if (coordination.roundAt != Instant{} && now - coordination.roundAt < period) {
+      now < state.fastRenewalUntil ? knobs_.fastRenewalInterval : knobs_.leaseRenewalInterval;
+  if (state.roundStartedAt != Instant{} && now - state.roundStartedAt < period) {
     return;
   }
-  ++coordination.round;
-  coordination.roundAt = now;
-  const bool holdsHalf = coordination.pool->share(now) >= knobs_.decidingShare;
-  const LendRequest request{partition, coordination.round, holdsHalf};
+  ++state.round;
+  state.roundStartedAt = now;
+  const bool hasQuorum = state.pool->share(now) >= knobs_.quorumShare;
+  const LeaseRequest request{partition, state.round, hasQuorum};
   for (const std::string& member : fleet_.members()) {
     send_(member, request);
   }
--- a/src/quota/quota_coordinator.h
+++ b/src/quota/quota_coordinator.h
@@ -1,4 +1,4 @@
-/// \file The coordinator's side of quotas at one node. No I/O; time is handed in.
+/// \file Quota coordinator of one node. Does no I/O; reads time through the given clock.
 #pragma once
 
 #include <cstdint>
@@ -17,78 +17,80 @@
 
 namespace gorsetrail::quota {
 
-/// Borrows shares for the partitions that this node coordinates, grants tokens from them, and hands
+/// Leases shares for the partitions that this node coordinates, grants tokens from them, and hands
 /// partitions over to other coordinators.
 class QuotaCoordinator {
  public:
-  /// Sends a message to a node, this one included.
+  /// Sends a message to a node, possibly this one.
   using Send = std::function<void(const std::string& to, const QuotaMessage& message)>;
 
-  /// \param fleet and \param random outlive this object. \param life differs between processes.
+  /// \param fleet and \param random must outlive this object. \param incarnation differs between
+  /// processes.
   QuotaCoordinator(QuotaFleet& fleet, const QuotaKnobs& knobs, std::string ownAddress,
-                   std::uint64_t life, std::function<Instant()> clock, RandomSource& random,
+                   std::uint64_t incarnation, std::function<Instant()> clock, RandomSource& random,
                    Send send);
 
-  void onLendReply(const std::string& from, const LendReply& reply);
-  /// \param partition of the request's tenant.
+  void onLeaseGrant(const std::string& from, const LeaseGrant& reply);
+  /// \param partition the partition of the request's tenant.
   void onTokenRequest(const std::string& from, std::uint32_t partition,
                       const TokenRequest& request);
   void onHandOver(const std::string& from, const HandOver& handOver);
-  /// Two coordinators of one partition would each hold a part of the shares for good, since nodes
-  /// renew their lends to whoever asks: the one that holds less than half gives way, or that which
-  /// comes second in an order that all nodes know.
-  void considerRival(const std::string& rival, const LendRequest& request);
-  /// Another coordinator counts no lend of the partition any more.
-  void onRivalEnd(const std::string& from, std::uint32_t partition);
-  /// Sends what is due.
+  /// Yields to a competing coordinator of the partition if this one holds less than half of the
+  /// shares and the other holds half, or if both are equal in this and the other ranks higher.
+  /// Without this, each could keep part of the shares indefinitely, because nodes renew leases to
+  /// any holder that asks.
+  void onCompetingLeaseRequest(const std::string& competitor, const LeaseRequest& request);
+  /// A competing coordinator has released its leases of the partition.
+  void onCompetitorRelease(const std::string& from, std::uint32_t partition);
+  /// Sends due lease requests and repeated releases.
   void onTick();
-  /// Before a planned stop: nothing is granted any more, and nodes may lend to another node.
-  void end();
-  /// \return how many token requests were replied to.
+  /// Hands over and releases all partitions before a planned shutdown. Grants nothing afterwards.
+  void resign();
   [[nodiscard]] std::uint64_t tokenReplies() const { return tokenReplies_; }
 
  private:
-  /// The coordinator's state of one partition.
-  struct Coordination {
+  struct PartitionState {
     std::unique_ptr<QuotaPool> pool;
-    Instant neededUntil;  ///< Somebody asked, or this node is the first choice.
+    Instant activeUntil;  ///< Renews leases until then, because a node asked for tokens.
     std::uint64_t round = 0;
-    Instant roundAt;
-    Instant hurriesUntil;  ///< Lends that ended elsewhere are free now: rounds follow fast.
+    Instant roundStartedAt;
+    /// Renews at `fastRenewalInterval` until then, because a predecessor has just released its
+    /// leases.
+    Instant fastRenewalUntil;
   };
-  using LendEnds = std::vector<LendEnd>;
-  /// An end that is told again, since a message may be lost.
-  struct RepeatedEnd {
-    LendEnd end;
-    std::uint32_t left = 0;
+  using LeaseReleases = std::vector<LeaseRelease>;
+  /// A release that is sent again, because a message may be lost.
+  struct PendingRelease {
+    LeaseRelease release;
+    std::uint32_t remaining = 0;
   };
-  /// Another coordinator of a partition that this node leaves it to.
-  struct GivenWay {
-    std::string rival;
+  /// A competing coordinator that this node leaves a partition to.
+  struct Yield {
+    std::string competitor;
     Instant heardAt;
   };
 
-  void coordinate(std::uint32_t partition);
-  Coordination& coordinationOf(std::uint32_t partition);
-  [[nodiscard]] bool givesWay(std::uint32_t partition) const;
-  void announceEnds(const LendEnds& ends);
-  void tellAll(const LendEnd& end);
-  void repeatEnds();
-  /// Tells the next coordinator what this one has granted. It goes out before the lends end, so
-  /// that it is there before anything can be granted.
-  void handOver(std::uint32_t partition, Coordination& coordination, const std::string& successor);
+  void requestLeasesIfDue(std::uint32_t partition);
+  PartitionState& stateOf(std::uint32_t partition);
+  [[nodiscard]] bool hasYielded(std::uint32_t partition) const;
+  void broadcastReleases(const LeaseReleases& releases);
+  void broadcast(const LeaseRelease& release);
+  void repeatReleases();
+  /// Sends the accounts to the next coordinator. Called before the leases are released, so that the
+  /// accounts arrive before the successor can grant tokens.
+  void handOver(std::uint32_t partition, PartitionState& state, const std::string& successor);
 
   QuotaFleet& fleet_;
   QuotaKnobs knobs_;
   std::string ownAddress_;
-  std::uint64_t life_;
+  std::uint64_t incarnation_;
   std::function<Instant()> clock_;
   RandomSource& random_;
   Send send_;
-  std::map<std::uint32_t, Coordination> coordinations_;
-  bool coordinates_ = true;                     ///< False from the planned stop on.
-  std::map<std::uint32_t, GivenWay> givenWay_;  ///< By partition.
-  std::vector<RepeatedEnd> repeatedEnds_;
+  std::map<std::uint32_t, PartitionState> partitionStates_;
+  bool mayCoordinate_ = true;              ///< False after `resign`.
+  std::map<std::uint32_t, Yield> yields_;  ///< By partition.
+  std::vector<PendingRelease> pendingReleases_;
   std::uint64_t tokenReplies_ = 0;
 };
 
--- a/src/quota/quota_message.cpp
+++ b/src/quota/quota_message.cpp
@@ -16,42 +16,43 @@
   return {reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
-std::string encode(const LendRequest& request) {
+std::string encode(const LeaseRequest& request) {
   Builder builder;
   return finish(
       builder, fbs::Message::LendRequest,
-      fbs::CreateLendRequest(builder, request.partition, request.round, request.holdsHalf));
+      fbs::CreateLendRequest(builder, request.partition, request.round, request.hasQuorum));
 }
 
-std::string encode(const LendReply& reply) {
+std::string encode(const LeaseGrant& reply) {
   Builder builder;
   return finish(builder, fbs::Message::LendReply,
                 fbs::CreateLendReply(builder, reply.partition, reply.round, reply.share));
 }
 
-std::string encode(const LendEnd& end) {
+std::string encode(const LeaseRelease& release) {
   Builder builder;
   return finish(builder, fbs::Message::LendEnd,
-                fbs::CreateLendEnd(builder, end.partition, end.round));
+                fbs::CreateLendEnd(builder, release.partition, release.round));
 }
 
 std::string encode(const TokenRequest& request) {
   Builder builder;
   const auto tenant = builder.CreateString(request.tenant);
-  return finish(builder, fbs::Message::TokenRequest,
-                fbs::CreateTokenRequest(builder, request.number, tenant, request.forBegun,
-                                        request.forBeginning, request.returned, request.grantor));
+  return finish(
+      builder, fbs::Message::TokenRequest,
+      fbs::CreateTokenRequest(builder, request.requestId, tenant, request.tokensForStarted,
+                              request.tokensForStarting, request.returned, request.grantor));
 }
 
 std::string encode(const TokenReply& reply) {
   Builder builder;
   const auto coordinator = reply.coordinator.empty() ? 0 : builder.CreateString(reply.coordinator);
-  return finish(
-      builder, fbs::Message::TokenReply,
-      fbs::CreateTokenReply(builder, reply.number, reply.decided, reply.granted, reply.isAmple,
-                            static_cast<std::uint64_t>(reply.retryAfter.count()),
-                            static_cast<std::uint64_t>(reply.usableAfter.count()), reply.grantor,
-                            coordinator));
+  return finish(builder, fbs::Message::TokenReply,
+                fbs::CreateTokenReply(builder, reply.requestId, reply.decided, reply.granted,
+                                      reply.mayStartPrograms,
+                                      static_cast<std::uint64_t>(reply.retryAfter.count()),
+                                      static_cast<std::uint64_t>(reply.usableAfter.count()),
+                                      reply.grantor, coordinator));
 }
 
 std::string encode(const HandOver& handOver) {
@@ -105,16 +106,16 @@
   }
   const fbs::Envelope* const envelope = fbs::GetEnvelope(begin);
   if (const auto* const read = envelope->message_as_LendRequest()) {
-    return QuotaMessage{LendRequest{read->partition(), read->round(), read->holds_half()}};
+    return QuotaMessage{LeaseRequest{read->partition(), read->round(), read->holds_half()}};
   }
   if (const auto* const read = envelope->message_as_LendReply()) {
     const bool isShare = std::isfinite(read->share()) && read->share() >= 0 && read->share() <= 1;
     return isShare ? Result<QuotaMessage>(
-                         QuotaMessage{LendReply{read->partition(), read->round(), read->share()}})
+                         QuotaMessage{LeaseGrant{read->partition(), read->round(), read->share()}})
                    : Result<QuotaMessage>(invalidMessage());
   }
   if (const auto* const read = envelope->message_as_LendEnd()) {
-    return QuotaMessage{LendEnd{read->partition(), read->round()}};
+    return QuotaMessage{LeaseRelease{read->partition(), read->round()}};
   }
   if (const auto* const read = envelope->message_as_HandOver()) {
     return readHandOver(*read);
--- a/src/quota/quota_pool.h
+++ b/src/quota/quota_pool.h
@@ -1,4 +1,4 @@
-/// \file The coordinator's side: tokens of the tenants of one partition. No I/O, no clock.
+/// \file Token buckets of the tenants of one partition. Does no I/O and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -17,49 +17,54 @@
 
 namespace gorsetrail::quota {
 
-/// Grants tokens out of what nodes lend. Whoever grants without having borrowed would double a
-/// limit when the fleet is split and each part has a coordinator; shares are lent to one at a time.
+/// Grants tokens in proportion to the leased shares. Each share is leased to one coordinator at a
+/// time, so the coordinators of a partitioned network together do not exceed a limit.
 class QuotaPool {
  public:
-  /// \param life differs between coordinators and between processes.
-  QuotaPool(const QuotaKnobs& knobs, std::uint64_t life) : knobs_(knobs), life_(life) {}
+  /// \param incarnation differs between coordinators and between processes.
+  QuotaPool(const QuotaKnobs& knobs, std::uint64_t incarnation)
+      : knobs_(knobs), incarnation_(incarnation) {}
 
-  void onLend(const std::string& node, double share, Instant until, Instant now);
-  /// The coordinator before this one tells how far limits are used, as its lends come here.
-  void takeOver(const HandOver& handOver, Instant now);
-  /// \return what the next coordinator must know, in messages that fit a datagram.
-  std::vector<HandOver> handOver(std::uint32_t partition, Instant now);
-  /// \param quota the tenant's limit in the configuration that is in force at this node.
+  void addLease(const std::string& node, double share, Instant expiresAt, Instant now);
+  /// Adds the accounts of the previous coordinator; duplicate messages are ignored.
+  void importAccounts(const HandOver& handOver, Instant now);
+  /// \return the state of all accounts for the next coordinator, in messages that each fit a
+  /// datagram.
+  std::vector<HandOver> exportAccounts(std::uint32_t partition, Instant now);
+  /// \param quota the tenant's limit in the configuration that is active on this node.
   TokenReply grant(const TokenRequest& request, const tenant::Quota& quota, Instant now);
   [[nodiscard]] double share(Instant now) { return shares_.share(now); }
 
  private:
   struct Account {
     double level = 0;
-    double shareSeconds = 0;    ///< Of the pool, when the level was reckoned.
-    std::uint64_t losses = 0;   ///< Of the pool's shares, likewise.
-    double begunPerSecond = 0;  ///< Tokens asked for begun programs lately.
-    Instant usedAt{};
+    double shareSeconds = 0;         ///< The pool's `shareSeconds` when `level` was last updated.
+    std::uint64_t quorumLosses = 0;  ///< The pool's `quorumLosses` at that time.
+    double startedTokensPerSecond = 0;  ///< Decayed rate of tokens requested by running programs.
+    Instant lastUsedAt{};
     SlidingCount granted;
   };
   Account& accountOf(const std::string& tenant, const tenant::Quota& quota, Instant now);
-  /// \return the level of a tenant of whom it is not known what another coordinator granted.
-  [[nodiscard]] double unsureLevelOf(const tenant::Quota& quota) const;
+  /// \return the level of a tenant for which another coordinator may have granted an unknown number
+  /// of tokens.
+  [[nodiscard]] double conservativeLevelOf(const tenant::Quota& quota) const;
   [[nodiscard]] double capacityOf(const tenant::Quota& quota, Instant now);
   /// \return tokens that may still be granted in the window that ends now.
-  [[nodiscard]] double leftInWindow(Account& account, const tenant::Quota& quota, Instant now);
-  void noteBegunUse(Account& account, std::uint32_t tokens, Instant now) const;
-  /// \return tokens that programs may not begin on.
-  [[nodiscard]] double reservedOf(const Account& account, const tenant::Quota& quota, Instant now);
-  [[nodiscard]] Duration timeUntil(double missing, const tenant::Quota& quota, Instant now);
+  [[nodiscard]] double remainingInWindow(Account& account, const tenant::Quota& quota, Instant now);
+  void recordStartedUsage(Account& account, std::uint32_t tokens, Instant now) const;
+  /// \return tokens that are not available to new programs.
+  [[nodiscard]] double reservedTokensOf(const Account& account, const tenant::Quota& quota,
+                                        Instant now);
+  [[nodiscard]] Duration refillTime(double missingTokens, const tenant::Quota& quota, Instant now);
 
   QuotaKnobs knobs_;
-  std::uint64_t life_;
+  std::uint64_t incarnation_;
   BorrowedShares shares_;
   std::unordered_map<std::string, Account> accounts_;
-  /// Life and part of the messages taken over lately, and when.
-  std::map<std::pair<std::uint64_t, std::uint32_t>, Instant> takenOver_;
-  std::optional<Instant> tookOverAt_;  ///< Without having borrowed anything since.
+  /// When each message of a hand-over was imported, by incarnation and part.
+  std::map<std::pair<std::uint64_t, std::uint32_t>, Instant> importedParts_;
+  /// Time of the import, until the leases that follow it arrive.
+  std::optional<Instant> importedAt_;
 };
 
 }  // namespace gorsetrail::quota
--- a/src/quota/quota_service.h
+++ b/src/quota/quota_service.h
@@ -1,4 +1,5 @@
-/// \file Quotas over the whole fleet: tokens from coordinators. No I/O; time is handed in.
+/// \file Fleet-wide quotas of one node: requests tokens from coordinators. Does no I/O; reads time
+/// through the given clock.
 #pragma once
 
 #include <cstdint>
@@ -21,43 +22,46 @@
 
 namespace gorsetrail::quota {
 
-/// What became of quota decisions; all only rise.
+/// Cumulative counts of quota decisions.
 struct QuotaCounters {
-  std::uint64_t grantedAtOnce = 0;  ///< From tokens at hand.
+  std::uint64_t grantedAtOnce = 0;  ///< From tokens that the node already held.
   std::uint64_t grantedAfterAsking = 0;
   std::uint64_t grantedFromOwnShare = 0;
   std::uint64_t overLimit = 0;
   std::uint64_t unknown = 0;
-  std::uint64_t tokenRequests = 0;  ///< Sent, repeated ones included.
-  std::uint64_t tokenReplies = 0;   ///< Given as a coordinator.
+  std::uint64_t tokenRequests = 0;  ///< Sent, including repeated ones.
+  std::uint64_t tokenReplies = 0;   ///< Sent by this node as a coordinator.
 };
 
-/// One node's part in quotas. A tenant belongs to a partition, and each partition has a coordinator
-/// that borrows all nodes' shares (`QuotaCoordinator`, `ShareLender`) and grants tokens. Why a
-/// limit holds: shares add up to the limit and are lent to one coordinator at a time, so all
-/// coordinators together, also in a split fleet, grant no more than the limit; and a token is void
-/// `QuotaKnobs::tokenLifetime` after it was asked for, whatever froze in between.
+/// Quota service of one node. Each tenant belongs to a partition, whose coordinator leases the
+/// shares of all nodes (`QuotaCoordinator`, `ShareLender`) and grants tokens.
+///
+/// All coordinators together grant no more than the limit, also in a partitioned network, because
+/// the shares add up to the limit and each is leased to one coordinator at a time. A token expires
+/// `QuotaKnobs::tokenLifetime` plus its accrual delay after it was requested, so a process that was
+/// suspended cannot spend it late.
 class QuotaService final : public QuotaAdmission {
  public:
-  /// \param fleet outlives this object. \param life differs between processes.
+  /// \param fleet must outlive this object. \param incarnation differs between processes.
   QuotaService(QuotaFleet& fleet, const QuotaKnobs& knobs, std::string ownAddress,
-               std::uint64_t life, std::function<Instant()> clock);
+               std::uint64_t incarnation, std::function<Instant()> clock);
 
   void admit(const tenant::Tenant& tenant, ProgramStage stage, Callback callback) override;
   void giveBack(const std::string& tenant) override;
   void onMessage(const std::string& from, const QuotaMessage& message);
-  /// Sends what is due; call it every few milliseconds while `hasWaiting`, else every `lendPeriod`.
+  /// Handles timeouts and sends due messages. Call every few milliseconds while `hasWaiting`,
+  /// otherwise every `QuotaKnobs::leaseRenewalInterval`.
   void onTick();
-  /// Before a planned stop: this node grants nothing any more, and nodes may lend to another.
-  void endCoordination() { coordinator_.end(); }
-  /// \return whether requests wait for tokens.
-  [[nodiscard]] bool hasWaiting() const { return waiting_ > 0; }
+  /// Stops coordinating before a planned shutdown; nodes may lease their shares to another
+  /// coordinator.
+  void endCoordination() { coordinator_.resign(); }
+  /// \return whether requests are waiting for tokens.
+  [[nodiscard]] bool hasWaiting() const { return waitingCount_ > 0; }
   [[nodiscard]] QuotaCounters counters() const {
     QuotaCounters counters = counters_;
     counters.tokenReplies = coordinator_.tokenReplies();
     return counters;
   }
-  /// \return the partition of a tenant.
   [[nodiscard]] std::uint32_t partitionOf(const std::string& tenant) const;
 
  private:
@@ -68,28 +72,30 @@
   };
   struct Tokens {
     std::uint32_t count = 0;
-    bool isAmple = false;
-    Instant until;
+    bool mayStartPrograms = false;
+    Instant expiresAt;
     std::uint64_t grantor = 0;
-    Instant usableAt;  ///< Until then the tenant's rate has not made up for them.
+    Instant usableAt;  ///< When the tokens have accrued at the tenant's rate.
   };
-  /// A token that a request was granted; the request may give it back.
+  /// A token of a granted request, which may return it until it expires.
   struct SpentToken {
-    Instant until;
+    Instant expiresAt;
     std::uint64_t grantor = 0;
   };
-  struct Asking {
-    std::uint64_t number = 0;
+  struct PendingRequest {
+    std::uint64_t requestId = 0;
     std::string coordinator;
     Instant sentAt;
-    std::size_t waiters = 0;  ///< Those in front of the queue are decided by the reply.
-    std::uint32_t tries = 1;  ///< At this coordinator.
-    bool isPaused = false;    ///< Undecided: the next coordinator is asked after a pause.
-    /// Coordinators asked because another one named them.
+    /// The first `waiters` entries of the queue are decided by the reply.
+    std::size_t waiters = 0;
+    std::uint32_t attempts = 1;  ///< Attempts at this coordinator.
+    /// The reply was undecided; the next coordinator is asked after a delay.
+    bool isPaused = false;
+    /// Number of redirects to other coordinators.
     std::uint32_t redirects = 0;
-    std::string redirectedBy;  ///< The first choice that named another one.
+    std::string redirectedBy;  ///< First coordinator that redirected the request.
   };
-  /// A granted request whose token is not made yet.
+  /// A granted request whose token has not accrued yet.
   struct Scheduled {
     Instant at;
     Callback callback;
@@ -103,36 +109,37 @@
     tenant::Tenant tenant;  ///< As of the last request.
     Tokens tokens;
     std::deque<Waiter> waiters;
-    std::optional<Asking> asking;
+    std::optional<PendingRequest> pendingRequest;
     std::deque<Scheduled> scheduled;
-    std::deque<SpentToken> spent;  ///< Not void yet; the oldest first.
-    Instant usedAt;
+    std::deque<SpentToken> spent;  ///< Unexpired tokens in the order in which they were spent.
+    Instant lastUsedAt;
   };
 
-  void askCoordinator(Account& account);
-  void ask(Account& account, const std::string& coordinator, std::uint32_t tries);
-  /// \param failed not chosen while there is another one; empty: none.
-  [[nodiscard]] std::string coordinatorFor(std::uint32_t partition,
-                                           const std::string& failed) const;
+  void requestTokens(Account& account);
+  void sendTokenRequest(Account& account, const std::string& coordinator, std::uint32_t attempts);
+  /// \param excluded not chosen unless it is the only one; may be empty.
+  [[nodiscard]] std::string chooseCoordinator(std::uint32_t partition,
+                                              const std::string& excluded) const;
   void send(const std::string& to, const QuotaMessage& message);
-  void onLendRequest(const std::string& from, const LendRequest& request);
-  void onLendEnd(const std::string& from, const LendEnd& end);
+  void onLeaseRequest(const std::string& from, const LeaseRequest& request);
+  void onLeaseRelease(const std::string& from, const LeaseRelease& release);
   void onTokenReply(const TokenReply& reply);
-  /// After an undecided reply: asks the coordinator that it named, or pauses.
-  void followOrPause(Account& account, const std::string& coordinator);
-  void takeTokens(Account& account, const Asking& asked, const TokenReply& reply);
-  void serveWaiters(Account& account, const Asking& asked, const TokenReply& reply);
-  void checkAccount(Account& account);
-  void releaseDue(Account& account);
-  void giveUpOldest(Account& account);
+  /// After an undecided reply: asks the coordinator that it names, or waits before the next
+  /// attempt.
+  void redirectOrPause(Account& account, const std::string& coordinator);
+  void storeTokens(Account& account, const PendingRequest& pending, const TokenReply& reply);
+  void serveWaiters(Account& account, const PendingRequest& pending, const TokenReply& reply);
+  void expireAndRetry(Account& account);
+  void completeScheduled(Account& account);
+  void rejectOldestWaiter(Account& account);
   /// \param since when the request began to wait.
   [[nodiscard]] QuotaTrace traceOf(const Account& account, const std::string& coordinator,
                                    Instant since) const;
-  /// Takes a token that is at hand, though it may have to wait for its time.
+  /// Takes an unexpired token, which may not have accrued yet.
   [[nodiscard]] static bool trySpend(Account& account, ProgramStage stage, Instant now);
-  static void dropVoid(Account& account, Instant now);
-  void finish(Account& account, const QuotaDecision& decision);
-  [[nodiscard]] Duration spread(Duration retryAfter);
+  static void dropExpired(Account& account, Instant now);
+  void completeOldestWaiter(Account& account, const QuotaDecision& decision);
+  [[nodiscard]] Duration addJitter(Duration retryAfter);
 
   QuotaFleet& fleet_;
   QuotaKnobs knobs_;
@@ -142,17 +149,19 @@
   ShareLender lender_;
   QuotaCoordinator coordinator_;
   std::unordered_map<std::string, Account> accounts_;
-  /// Who decided last, by partition: asked first while it decides. After a split heals the nodes
-  /// that others chose as coordinator return, with nothing borrowed.
-  std::map<std::uint32_t, std::string> proven_;
-  std::map<std::uint32_t, std::string> lastDecided_;  ///< Likewise, also while nobody decides.
-  std::map<std::uint32_t, LastAnswer> lastAnswers_;   ///< By partition; decided or not.
-  std::unordered_map<std::uint64_t, std::string> askingTenants_;  ///< By number of the request.
-  std::deque<std::pair<std::string, QuotaMessage>> toSelf_;
-  bool deliversToSelf_ = false;
-  /// Begins at random: a reply to an earlier life must not fit.
-  std::uint64_t nextNumber_;
-  std::size_t waiting_ = 0;
+  /// The coordinator that last decided, by partition. Asked first until it stops deciding, because
+  /// after a network partition heals the regular candidates may hold no leases.
+  std::map<std::uint32_t, std::string> preferredCoordinators_;
+  /// By partition; kept when that coordinator stops deciding.
+  std::map<std::uint32_t, std::string> lastDecidingCoordinators_;
+  std::map<std::uint32_t, LastAnswer> lastAnswers_;  ///< Last reply by partition, decided or not.
+  /// By `PendingRequest::requestId`.
+  std::unordered_map<std::uint64_t, std::string> tenantByRequestId_;
+  std::deque<std::pair<std::string, QuotaMessage>> selfMessages_;
+  bool isDeliveringToSelf_ = false;
+  /// Starts at a random value so that replies to an earlier incarnation do not match.
+  std::uint64_t nextRequestId_;
+  std::size_t waitingCount_ = 0;
   QuotaCounters counters_;
 };
 
--- a/src/quota/share_lender.cpp
+++ b/src/quota/share_lender.cpp
@@ -10,50 +10,50 @@
 }  // namespace
 
 ShareLender::ShareLender(const QuotaKnobs& knobs, Instant startedAt)
-    : knobs_(knobs), partitions_(knobs.partitions, {{}, 0, startedAt + knobs.lendTime}) {}
+    : knobs_(knobs), partitions_(knobs.partitions, {{}, 0, startedAt + knobs.leaseDuration}) {}
 
-bool ShareLender::lend(std::uint32_t partition, const std::string& coordinator, std::uint64_t round,
-                       Instant now) {
+bool ShareLender::tryLease(std::uint32_t partition, const std::string& coordinator,
+                           std::uint64_t round, Instant now) {
   if (partition >= partitions_.size()) {
     return false;
   }
-  Partition& lent = partitions_[partition];
-  if (lent.coordinator != coordinator && now < lent.lentUntil) {
+  PartitionLease& lease = partitions_[partition];
+  if (lease.coordinator != coordinator && now < lease.leaseExpiry) {
     return false;
   }
-  lent = {coordinator, round, now + knobs_.lendTime};
+  lease = {coordinator, round, now + knobs_.leaseDuration};
   return true;
 }
 
-void ShareLender::onEnd(std::uint32_t partition, const std::string& coordinator,
-                        std::uint64_t round, Instant now) {
+void ShareLender::onRelease(std::uint32_t partition, const std::string& coordinator,
+                            std::uint64_t round, Instant now) {
   if (partition >= partitions_.size()) {
     return;
   }
-  Partition& lent = partitions_[partition];
-  if (lent.coordinator == coordinator && isSameLife(lent.round, round)) {
-    lent.lentUntil = std::min(lent.lentUntil, now);
+  PartitionLease& lease = partitions_[partition];
+  if (lease.coordinator == coordinator && isSameIncarnation(lease.round, round)) {
+    lease.leaseExpiry = std::min(lease.leaseExpiry, now);
   }
 }
 
-bool ShareLender::trySpendOwn(std::uint32_t partition, const tenant::Tenant& tenant, double share,
-                              Instant now) {
-  const Instant lentUntil = partitions_[partition].lentUntil;
-  if (now < lentUntil) {
+bool ShareLender::trySpendLocalToken(std::uint32_t partition, const tenant::Tenant& tenant,
+                                     double share, Instant now) {
+  const Instant leaseExpiry = partitions_[partition].leaseExpiry;
+  if (now < leaseExpiry) {
     return false;
   }
   // Tokens come in only while the share is the node's own.
-  const auto [entry, isNew] = own_.try_emplace(tenant.name, OwnAccount{0, lentUntil});
-  OwnAccount& account = entry->second;
-  if (account.reckonedAt < lentUntil) {
-    account = {0, lentUntil};
+  const auto [entry, isNew] = localBuckets_.try_emplace(tenant.name, LocalBucket{0, leaseExpiry});
+  LocalBucket& account = entry->second;
+  if (account.refilledAt < leaseExpiry) {
+    account = {0, leaseExpiry};
   }
   const double passed =
-      static_cast<double>((now - account.reckonedAt).count()) / kMicrosecondsPerSecond;
-  const double capacity = share * (tenant.quota.burst + knobs_.ownBurstAllowance);
+      static_cast<double>((now - account.refilledAt).count()) / kMicrosecondsPerSecond;
+  const double capacity = share * (tenant.quota.burst + knobs_.localBurstAllowance);
   account.level =
       std::min(account.level + share * tenant.quota.requestsPerSecond * passed, capacity);
-  account.reckonedAt = now;
+  account.refilledAt = now;
   if (account.level < 1.0) {
     return false;
   }
--- a/src/quota/share_lender.h
+++ b/src/quota/share_lender.h
@@ -1,5 +1,5 @@
-/// \file A node's own share of all limits: lent to coordinators, or spent by itself. No I/O, no
-/// clock.
+/// \file The node's own share of all limits: leased to coordinators or used locally. Does no I/O
+/// and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -14,47 +14,48 @@
 
 namespace gorsetrail::quota {
 
-/// Rounds of one life of a coordinator differ in their low bits only.
+/// Rounds of one incarnation of a coordinator differ in these low bits only.
 inline constexpr unsigned kRoundBits = 32;
-inline bool isSameLife(std::uint64_t round, std::uint64_t other) {
+inline bool isSameIncarnation(std::uint64_t round, std::uint64_t other) {
   return round >> kRoundBits == other >> kRoundBits;
 }
 
-/// Lends the node's share of a partition to one coordinator at a time. The coordinator counts the
-/// lend from the moment it asked, the node from the moment it answered, so the coordinator's end
-/// comes first whatever the way took. A process that starts has forgotten what it lent in its
-/// earlier life, so it waits until that has ended.
+/// Leases the node's share of a partition to one coordinator at a time. The coordinator counts the
+/// lease from its request and the node from its reply, so the lease expires at the coordinator
+/// first, whatever the network delay. After a restart nothing is leased until leases of the
+/// previous process have expired.
 class ShareLender {
  public:
   ShareLender(const QuotaKnobs& knobs, Instant startedAt);
 
-  /// \return whether the share is lent to this coordinator from now on for `QuotaKnobs::lendTime`.
-  /// \param round of the coordinator; those of one life share all but the low bits, see
-  /// `isSameLife`.
-  bool lend(std::uint32_t partition, const std::string& coordinator, std::uint64_t round,
-            Instant now);
-  /// The coordinator counts the lends of the life that this round belongs to no more.
-  void onEnd(std::uint32_t partition, const std::string& coordinator, std::uint64_t round,
-             Instant now);
-  /// Takes a token of the node's own share. \param share of each limit, 0 to 1.
-  /// \return false while the share is lent, or when the tokens are spent.
-  bool trySpendOwn(std::uint32_t partition, const tenant::Tenant& tenant, double share,
-                   Instant now);
+  /// Leases or renews the share for `QuotaKnobs::leaseDuration` from now on.
+  /// \param round of the coordinator; see `isSameIncarnation`.
+  /// \return false while another coordinator holds the lease, or if the partition is unknown.
+  bool tryLease(std::uint32_t partition, const std::string& coordinator, std::uint64_t round,
+                Instant now);
+  /// Ends the lease if it belongs to this coordinator and to the incarnation of `round`.
+  void onRelease(std::uint32_t partition, const std::string& coordinator, std::uint64_t round,
+                 Instant now);
+  /// Takes a token of the node's own share.
+  /// \param share of each limit, 0 to 1.
+  /// \return false while the share is leased out or if no token is left.
+  bool trySpendLocalToken(std::uint32_t partition, const tenant::Tenant& tenant, double share,
+                          Instant now);
 
  private:
-  struct Partition {
+  struct PartitionLease {
     std::string coordinator;
     std::uint64_t round = 0;
-    Instant lentUntil;
+    Instant leaseExpiry;
   };
-  struct OwnAccount {
+  struct LocalBucket {
     double level = 0;
-    Instant reckonedAt;
+    Instant refilledAt;
   };
 
   QuotaKnobs knobs_;
-  std::vector<Partition> partitions_;
-  std::unordered_map<std::string, OwnAccount> own_;
+  std::vector<PartitionLease> partitions_;
+  std::unordered_map<std::string, LocalBucket> localBuckets_;
 };
 
 }  // namespace gorsetrail::quota
--- a/src/quota/static_shares.cpp
+++ b/src/quota/static_shares.cpp
@@ -16,9 +16,9 @@
   const double capacity = std::max(1.0, tenant.quota.burst * share);
   const auto [entry, isNew] = accounts_.try_emplace(tenant.name, Account{capacity, now});
   Account& account = entry->second;
-  const std::chrono::duration<double> passed = now - account.reckonedAt;
+  const std::chrono::duration<double> passed = now - account.refilledAt;
   account.level = std::min(account.level + rate * passed.count(), capacity);
-  account.reckonedAt = now;
+  account.refilledAt = now;
   if (account.level >= 1.0) {
     account.level -= 1.0;
     callback({QuotaVerdict::Granted, Duration::zero()});
--- a/src/quota/static_shares.h
+++ b/src/quota/static_shares.h
@@ -1,4 +1,4 @@
-/// \file Quotas as equal shares of all nodes, without messages.
+/// \file Rate limiting by a fixed share per node, without messages.
 #pragma once
 
 #include <functional>
@@ -9,11 +9,12 @@
 
 namespace gorsetrail::quota {
 
-/// Each node lets through its share of each limit. Safe without any message; it refuses wrongly
-/// where a tenant's requests are few or uneven over the nodes. Kept to measure leases against.
+/// Each node enforces its fraction of each limit locally. Never exceeds the limit, but rejects
+/// requests within it if a tenant's requests are few or unevenly distributed. Serves as the
+/// baseline for the coordinator protocol.
 class StaticShares final : public QuotaAdmission {
  public:
-  /// \param share this node's part of each limit, 0 to 1; it may change.
+  /// \param share returns this node's fraction of each limit, 0 to 1; may change over time.
   StaticShares(std::function<double()> share, std::function<Instant()> clock)
       : share_(std::move(share)), clock_(std::move(clock)) {}
 
@@ -23,7 +24,7 @@
  private:
   struct Account {
     double level = 0;
-    Instant reckonedAt;
+    Instant refilledAt;
   };
 
   std::function<double()> share_;
--- a/tests/membership/dissemination_test.cpp
+++ b/tests/membership/dissemination_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-bool allHeard(MembershipNetwork& network, bool leaving) {
+bool allReceived(MembershipNetwork& network, bool leaving) {
   for (std::uint32_t number = 1; number <= network.size(); ++number) {
     const auto& notices = network.at(number).notices;
     if (notices.empty() || notices.back().leaving != leaving) {
@@ -32,8 +32,8 @@
     MembershipNetwork network(400, seed);
     network.run(seconds(5));
     network.service(17).announceBackend(0xabcd, true, network.now());
-    const auto took = network.runUntil([&] { return allHeard(network, true); }, seconds(3));
-    CHECK(took.has_value());
+    const auto elapsed = network.runUntil([&] { return allReceived(network, true); }, seconds(3));
+    CHECK(elapsed.has_value());
   }
 }
 
@@ -125,25 +125,25 @@
 
 TEST(Dissemination, QueueSendsLeastOftenSentFirst) {
   UpdateQueue queue(2);
-  queue.add(1, NewsPriority::Change);
-  CHECK_EQUAL(1U, queue.take(1).front());
-  queue.add(2, NewsPriority::Change);
-  CHECK_EQUAL(2U, queue.take(1).front());
-  CHECK_EQUAL(2U, queue.take(2).size());
+  queue.add(1, UpdatePriority::Change);
+  CHECK_EQUAL(1U, queue.takeNext(1).front());
+  queue.add(2, UpdatePriority::Change);
+  CHECK_EQUAL(2U, queue.takeNext(1).front());
+  CHECK_EQUAL(2U, queue.takeNext(2).size());
   CHECK(queue.empty());
 }
 
 TEST(Dissemination, ChangesGoBeforeIntroductions) {
   UpdateQueue queue(3);
-  queue.add(1, NewsPriority::Change);
+  queue.add(1, UpdatePriority::Change);
   for (std::uint32_t item = 2; item <= 50; ++item) {
-    queue.add(item, NewsPriority::Introduction);
+    queue.add(item, UpdatePriority::FirstContact);
   }
   for (int times = 0; times < 3; ++times) {
-    const std::vector<std::uint32_t> taken = queue.take(8);
+    const std::vector<std::uint32_t> taken = queue.takeNext(8);
     CHECK_EQUAL(1U, taken.front());
   }
-  CHECK(queue.take(8).front() != 1);
+  CHECK(queue.takeNext(8).front() != 1);
 }
 
 TEST(Dissemination, FourHundredMembersTakeLessThan32KilobytesBesideAddresses) {
--- a/tests/membership/dynamic_members_test.cpp
+++ b/tests/membership/dynamic_members_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// A detector without a network: what it sends is looked at or dropped.
-struct LoneDetector {
+struct StandaloneDetector {
   static MembershipKnobs knobs() {
     MembershipKnobs knobs;
     knobs.answersUnknownNodes = true;
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-TEST_GROUP(DynamicMembers) { LoneDetector detector; };
+TEST_GROUP(DynamicMembers) { StandaloneDetector detector; };
 
 TEST(DynamicMembers, aNodeThatJoinsIsWatchedFromThenOn) {
   detector.run(seconds(1), true);
@@ -62,7 +62,7 @@
 }
 
 TEST(DynamicMembers, aNodeThatHearsFromNobodyDeclaresNobodyDead) {
-  LoneDetector cut;
+  StandaloneDetector cut;
   cut.add(2);
   cut.add(3);
   cut.run(seconds(30), false);
@@ -87,11 +87,11 @@
   network.run(seconds(5));
   network.at(3).running = false;
   network.run(seconds(5));
-  CHECK_TRUE(network.allBelieve(3, MemberState::Dead));
+  CHECK_TRUE(network.allSee(3, MemberState::Dead));
   network.start(3, 400);  // Incarnations are times of day; the clock was set back meanwhile.
-  const auto took =
-      network.runUntil([&] { return network.allBelieve(3, MemberState::Alive); }, seconds(10));
-  CHECK_TRUE(took.has_value());
+  const auto elapsed =
+      network.runUntil([&] { return network.allSee(3, MemberState::Alive); }, seconds(10));
+  CHECK_TRUE(elapsed.has_value());
 }
 
 TEST(DynamicMembers, aProbeOfANodeThatIsNotListedYetIsAnswered) {
--- a/tests/membership/failure_detection_test.cpp
+++ b/tests/membership/failure_detection_test.cpp
@@ -36,9 +36,9 @@
     MembershipNetwork network(100, seed);
     network.run(seconds(10));
     network.at(7).running = false;
-    const auto took =
-        network.runUntil([&] { return network.allBelieve(7, MemberState::Dead); }, seconds(6));
-    CHECK(took.has_value());
+    const auto elapsed =
+        network.runUntil([&] { return network.allSee(7, MemberState::Dead); }, seconds(6));
+    CHECK(elapsed.has_value());
   }
 }
 
@@ -48,16 +48,16 @@
     MembershipNetwork network(400, seed);
     network.run(seconds(20));
     network.at(3).running = false;
-    const auto took =
-        network.runUntil([&] { return network.allBelieve(3, MemberState::Dead); }, seconds(6));
-    CHECK(took.has_value());
+    const auto elapsed =
+        network.runUntil([&] { return network.allSee(3, MemberState::Dead); }, seconds(6));
+    CHECK(elapsed.has_value());
   }
 }
 
 TEST(FailureDetection, LossOfOneMessageInFiveKillsNobody) {
   MembershipNetwork network(20);
   RandomSource random(3);
-  network.loses = [&](std::uint32_t, std::uint32_t) { return random.below(5) == 0; };
+  network.isLost = [&](std::uint32_t, std::uint32_t) { return random.below(5) == 0; };
   network.run(seconds(60));
   for (std::uint32_t number = 1; number <= network.size(); ++number) {
     for (const MemberUpdate& update : network.at(number).changes) {
@@ -69,12 +69,12 @@
 TEST(FailureDetection, FalseSuspicionIsRefuted) {
   MembershipNetwork network(10);
   network.run(seconds(5));
-  const MemberUpdate lie{NodeId(4), Incarnation(1), MemberState::Suspected, 0};
-  Piggyback piggyback{Incarnation(1), BundleVersion(0), {lie}, {}};
+  const MemberUpdate falseUpdate{NodeId(4), Incarnation(1), MemberState::Suspected, 0};
+  Piggyback piggyback{Incarnation(1), BundleVersion(0), {falseUpdate}, {}};
   network.service(2).onMembershipMessage(NodeId(3), ProbeRequest{99, piggyback}, network.now());
   CHECK(network.service(2).stateOf(NodeId(4)) == MemberState::Suspected);
-  const auto took = network.runUntil([&] { return network.allAlive(); }, seconds(3));
-  CHECK(took.has_value());
+  const auto elapsed = network.runUntil([&] { return network.allAlive(); }, seconds(3));
+  CHECK(elapsed.has_value());
   network.run(seconds(5));
   CHECK(network.allAlive());
 }
@@ -84,25 +84,25 @@
   network.run(seconds(5));
   network.at(5).running = false;
   network.run(seconds(30));
-  CHECK(network.allBelieve(5, MemberState::Dead));
+  CHECK(network.allSee(5, MemberState::Dead));
   network.at(5).changes.clear();
   network.at(5).running = true;
-  const auto took = network.runUntil([&] { return network.allAlive(); }, seconds(10));
-  CHECK(took.has_value());
+  const auto elapsed = network.runUntil([&] { return network.allAlive(); }, seconds(10));
+  CHECK(elapsed.has_value());
   CHECK(network.at(5).changes.empty());
 }
 
 TEST(FailureDetection, PartitionOfHoursHealsWithinTwentySeconds) {
   MembershipNetwork network(40);
   network.run(seconds(5));
-  network.loses = [](std::uint32_t from, std::uint32_t to) { return from % 2 != to % 2; };
+  network.isLost = [](std::uint32_t from, std::uint32_t to) { return from % 2 != to % 2; };
   network.run(std::chrono::hours(4));
   CHECK(network.service(1).stateOf(NodeId(2)) == MemberState::Dead);
   CHECK(network.service(2).stateOf(NodeId(1)) == MemberState::Dead);
   CHECK(network.service(1).stateOf(NodeId(3)) == MemberState::Alive);
-  network.loses = [](std::uint32_t, std::uint32_t) { return false; };
-  const auto took = network.runUntil([&] { return network.allAlive(); }, seconds(20));
-  CHECK(took.has_value());
+  network.isLost = [](std::uint32_t, std::uint32_t) { return false; };
+  const auto elapsed = network.runUntil([&] { return network.allAlive(); }, seconds(20));
+  CHECK(elapsed.has_value());
 }
 
 TEST(FailureDetection, RatePerNodeDoesNotGrowWithTheFleet) {
@@ -133,5 +133,5 @@
   }
   network.run(seconds(10));
   CHECK(network.at(1).messagesSent - before < 500);
-  CHECK(network.allBelieve(2, MemberState::Dead));
+  CHECK(network.allSee(2, MemberState::Dead));
 }
--- a/tests/membership/member_life_test.cpp
+++ b/tests/membership/member_life_test.cpp
@@ -8,24 +8,24 @@
 using namespace gorsetrail;
 using namespace gorsetrail::membership;
 
-TEST_GROUP(MemberLife){};
+TEST_GROUP(MemberIncarnation){};
 
-TEST(MemberLife, RestartedNodeSupersedesItsEarlierLife) {
+TEST(MemberIncarnation, RestartedNodeSupersedesItsEarlierLife) {
   MembershipNetwork network(20);
   network.run(seconds(5));
   network.at(3).running = false;
   network.run(seconds(10));
   network.start(3, 2);
-  const auto took = network.runUntil(
+  const auto elapsed = network.runUntil(
       [&] {
-        return network.allBelieve(3, MemberState::Alive) &&
+        return network.allSee(3, MemberState::Alive) &&
                network.service(9).incarnationOf(NodeId(3)) == Incarnation(2);
       },
       seconds(10));
-  CHECK(took.has_value());
+  CHECK(elapsed.has_value());
 }
 
-TEST(MemberLife, MessageOfAnEarlierLifeChangesNothing) {
+TEST(MemberIncarnation, MessageOfAnEarlierLifeChangesNothing) {
   MembershipNetwork network(4);
   network.run(seconds(3));
   network.start(2, 5);
@@ -37,24 +37,24 @@
   CHECK(network.service(1).stateOf(NodeId(2)) == MemberState::Alive);
 }
 
-TEST(MemberLife, TerminatedIsFinalForItsIncarnationAndOnlyForIt) {
+TEST(MemberIncarnation, TerminatedIsFinalForItsIncarnationAndOnlyForIt) {
   MembershipNetwork network(10);
   network.run(seconds(5));
   network.at(4).running = false;
   const std::vector<MachineListLine> list{{NodeId(4), Incarnation(1), MemberState::Terminated}};
   network.service(1).onMachineList(list, network.now());
   network.run(seconds(5));
-  CHECK(network.allBelieve(4, MemberState::Terminated));
+  CHECK(network.allSee(4, MemberState::Terminated));
   network.at(4).running = true;  // The list was wrong or the node a zombie: it stays terminated.
   network.run(seconds(10));
-  CHECK(network.allBelieve(4, MemberState::Terminated));
+  CHECK(network.allSee(4, MemberState::Terminated));
   network.start(4, 2);
-  const auto took =
-      network.runUntil([&] { return network.allBelieve(4, MemberState::Alive); }, seconds(10));
-  CHECK(took.has_value());
+  const auto elapsed =
+      network.runUntil([&] { return network.allSee(4, MemberState::Alive); }, seconds(10));
+  CHECK(elapsed.has_value());
 }
 
-TEST(MemberLife, SilenceOrStaleLinesOfTheListProveNothing) {
+TEST(MemberIncarnation, SilenceOrStaleLinesOfTheListProveNothing) {
   MembershipNetwork network(3);
   network.run(seconds(3));
   network.start(2, 7);
@@ -67,7 +67,7 @@
   CHECK_EQUAL(7U, network.service(1).incarnationOf(NodeId(2)).value());
 }
 
-TEST(MemberLife, ListLineDoesNotReviveADeadMember) {
+TEST(MemberIncarnation, ListLineDoesNotReviveADeadMember) {
   MembershipNetwork network(5);
   network.run(seconds(3));
   network.at(2).running = false;
@@ -77,34 +77,34 @@
   CHECK(network.service(1).stateOf(NodeId(2)) == MemberState::Dead);
 }
 
-TEST(MemberLife, LeavingSpreadsAndSurvivesASuspicion) {
+TEST(MemberIncarnation, LeavingSpreadsAndSurvivesASuspicion) {
   MembershipNetwork network(30);
   network.run(seconds(5));
   network.service(6).beginLeave(network.now());
-  const auto took =
-      network.runUntil([&] { return network.allBelieve(6, MemberState::Leaving); }, seconds(3));
-  CHECK(took.has_value());
-  const MemberUpdate lie{NodeId(6), Incarnation(1), MemberState::Suspected, 1};
-  const Piggyback piggyback{Incarnation(1), BundleVersion(0), {lie}, {}};
+  const auto elapsed =
+      network.runUntil([&] { return network.allSee(6, MemberState::Leaving); }, seconds(3));
+  CHECK(elapsed.has_value());
+  const MemberUpdate falseUpdate{NodeId(6), Incarnation(1), MemberState::Suspected, 1};
+  const Piggyback piggyback{Incarnation(1), BundleVersion(0), {falseUpdate}, {}};
   network.service(2).onMembershipMessage(NodeId(3), ProbeRequest{9, piggyback}, network.now());
   network.run(seconds(5));
-  CHECK(network.allBelieve(6, MemberState::Leaving));
+  CHECK(network.allSee(6, MemberState::Leaving));
   network.at(6).running = false;
   network.run(seconds(8));
-  CHECK(network.allBelieve(6, MemberState::Dead));
+  CHECK(network.allSee(6, MemberState::Dead));
 }
 
-TEST(MemberLife, LeavingFromTheListReachesTheNodeItself) {
+TEST(MemberIncarnation, LeavingFromTheListReachesTheNodeItself) {
   MembershipNetwork network(8);
   network.run(seconds(5));
   network.service(1).onMachineList({{NodeId(5), Incarnation(1), MemberState::Leaving}},
                                    network.now());
   network.run(seconds(3));
-  CHECK(network.allBelieve(5, MemberState::Leaving));
+  CHECK(network.allSee(5, MemberState::Leaving));
   CHECK(network.service(5).stateOf(NodeId(5)) == MemberState::Leaving);
 }
 
-TEST(MemberLife, UnknownSenderAndUnknownMemberAreIgnored) {
+TEST(MemberIncarnation, UnknownSenderAndUnknownMemberAreIgnored) {
   MembershipNetwork network(3);
   const MemberUpdate unknown{NodeId(77), Incarnation(1), MemberState::Alive, 0};
   const Piggyback piggyback{Incarnation(1), BundleVersion(9), {unknown}, {}};
@@ -113,7 +113,7 @@
   CHECK(network.service(1).stateOf(NodeId(77)) == MemberState::Dead);
 }
 
-TEST(MemberLife, BeliefsAreTotallyOrdered) {
+TEST(MemberIncarnation, BeliefsAreTotallyOrdered) {
   std::vector<MemberUpdate> beliefs;
   for (std::uint64_t incarnation = 1; incarnation <= 2; ++incarnation) {
     for (std::uint32_t refutation = 0; refutation <= 2; ++refutation) {
--- a/tests/membership/membership_network.h
+++ b/tests/membership/membership_network.h
@@ -47,12 +47,12 @@
   Instant now() const { return now_; }
 
   /// Says whether a message between two nodes is lost.
-  std::function<bool(std::uint32_t, std::uint32_t)> loses = [](std::uint32_t, std::uint32_t) {
+  std::function<bool(std::uint32_t, std::uint32_t)> isLost = [](std::uint32_t, std::uint32_t) {
     return false;
   };
 
   /// Sees every message that is sent, when set.
-  std::function<void(std::uint32_t, const MembershipMessage&)> observe;
+  std::function<void(std::uint32_t, const MembershipMessage&)> onSent;
 
   void run(Duration span) {
     const Instant end = now_ + span;
@@ -63,7 +63,7 @@
         if (at(number).running) {
           service(number).onTick(now_);
         }
-        collect(number);
+        dispatchCommands(number);
       }
     }
   }
@@ -82,7 +82,7 @@
   }
 
   /// \return whether every running node but `subject` believes this of it.
-  bool allBelieve(std::uint32_t subject, MemberState state) {
+  bool allSee(std::uint32_t subject, MemberState state) {
     for (std::uint32_t number = 1; number <= nodes_.size(); ++number) {
       const bool counts = number != subject && at(number).running;
       if (counts && service(number).stateOf(NodeId(subject)) != state) {
@@ -93,7 +93,7 @@
   }
   bool allAlive() {
     for (std::uint32_t number = 1; number <= nodes_.size(); ++number) {
-      if (!allBelieve(number, MemberState::Alive)) {
+      if (!allSee(number, MemberState::Alive)) {
         return false;
       }
     }
@@ -115,17 +115,17 @@
   static constexpr Duration kDelay = milliseconds(2);
 
   void deliver() {
-    while (!flights_.empty() && flights_.top().at <= now_) {
-      const Delivery delivery = flights_.top();
-      flights_.pop();
-      if (at(delivery.to).running && !loses(delivery.from, delivery.to)) {
+    while (!inFlight_.empty() && inFlight_.top().at <= now_) {
+      const Delivery delivery = inFlight_.top();
+      inFlight_.pop();
+      if (at(delivery.to).running && !isLost(delivery.from, delivery.to)) {
         service(delivery.to).onMembershipMessage(NodeId(delivery.from), delivery.message, now_);
-        collect(delivery.to);
+        dispatchCommands(delivery.to);
       }
     }
   }
 
-  void collect(std::uint32_t number) {
+  void dispatchCommands(std::uint32_t number) {
     Node& node = at(number);
     if (!node.service) {
       return;
@@ -133,10 +133,10 @@
     for (MembershipCommand& command : node.service->takeCommands()) {
       if (auto* sent = std::get_if<SendMembershipMessage>(&command)) {
         ++node.messagesSent;
-        if (observe) {
-          observe(number, sent->message);
+        if (onSent) {
+          onSent(number, sent->message);
         }
-        flights_.push({now_ + kDelay, order_++, number, sent->to.value(), sent->message});
+        inFlight_.push({now_ + kDelay, order_++, number, sent->to.value(), sent->message});
       } else if (auto* changed = std::get_if<MemberChanged>(&command)) {
         node.changes.push_back(changed->update);
       } else if (auto* notice = std::get_if<BackendChanged>(&command)) {
@@ -150,7 +150,7 @@
   std::uint64_t seed_;
   std::vector<Member> members_;
   std::vector<Node> nodes_;
-  std::priority_queue<Delivery> flights_;
+  std::priority_queue<Delivery> inFlight_;
   std::uint64_t order_ = 0;
   Instant now_{seconds(1)};
 };
--- a/tests/quota/quota_fleet.h
+++ b/tests/quota/quota_fleet.h
@@ -74,9 +74,9 @@
     started.service = std::make_unique<QuotaService>(started, knobs_, started.address,
                                                      random_.below(UINT32_MAX) + 1,
                                                      [this] { return timers.now; });
-    ++started.life;
+    ++started.incarnation;
     started.isLeaving = false;
-    tick(node, started.life);
+    tick(node, started.incarnation);
   }
   /// A frozen node handles nothing; what arrives meanwhile waits.
   void freeze(std::size_t node) { nodes_[node]->isFrozen = true; }
@@ -184,7 +184,7 @@
     std::size_t index;
     std::string address;
     std::unique_ptr<QuotaService> service;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     bool isFrozen = false;
     bool isLeaving = false;
     int group = 0;
@@ -227,16 +227,16 @@
       target.service->onMessage(sender, valueOf(message));
     }
   }
-  void tick(std::size_t node, std::uint64_t life) {
+  void tick(std::size_t node, std::uint64_t incarnation) {
     Node& ticked = *nodes_[node];
-    if (!ticked.service || ticked.life != life) {
+    if (!ticked.service || ticked.incarnation != incarnation) {
       return;
     }
     if (!ticked.isFrozen) {
       ticked.service->onTick();
     }
     const Duration period = milliseconds(ticked.service->hasWaiting() ? 10 : 50);
-    timers.runAfter(period, [this, node, life] { tick(node, life); });
+    timers.runAfter(period, [this, node, incarnation] { tick(node, incarnation); });
   }
 
   QuotaKnobs knobs_;
--- a/tests/quota/quota_pool_test.cpp
+++ b/tests/quota/quota_pool_test.cpp
@@ -12,14 +12,14 @@
 namespace {
 
 const Instant kStart(seconds(100));
-constexpr std::uint64_t kLife = 7;
+constexpr std::uint64_t kIncarnation = 7;
 
 TokenRequest asking(std::uint32_t begun, std::uint32_t beginning = 0) {
   TokenRequest request;
-  request.number = 1;
+  request.requestId = 1;
   request.tenant = "t";
-  request.forBegun = begun;
-  request.forBeginning = beginning;
+  request.tokensForStarted = begun;
+  request.tokensForStarting = beginning;
   return request;
 }
 
@@ -27,15 +27,15 @@
 
 TEST_GROUP(QuotaPool) {
   QuotaKnobs knobs;
-  QuotaPool pool{knobs, kLife};
+  QuotaPool pool{knobs, kIncarnation};
   tenant::Quota quota{20, 10};
 
   /// A pool that has held this share for a while: its buckets are full.
   void borrow(double share, Duration span = seconds(10)) {
-    pool.onLend("node", share, kStart + span + seconds(100), kStart);
+    pool.addLease("node", share, kStart + span + seconds(100), kStart);
   }
   static Instant later(Duration span) { return kStart + span; }
-  std::uint32_t takeAll(Instant now) { return pool.grant(asking(1000), quota, now).granted; }
+  std::uint32_t requestAll(Instant now) { return pool.grant(asking(1000), quota, now).granted; }
 };
 
 TEST(QuotaPool, decidesNothingWithoutBorrowedShares) {
@@ -56,7 +56,7 @@
   borrow(1.0);
   std::uint32_t granted = 0;
   for (int step = 0; step < 50; ++step) {
-    granted += takeAll(later(seconds(10) + milliseconds(100) * step));
+    granted += requestAll(later(seconds(10) + milliseconds(100) * step));
   }
   CHECK(granted <= (20 * 5 + 10) * 1.1 + 20 - 0.4 * 20);
   CHECK(granted >= 20 * 5 + 10);
@@ -66,7 +66,7 @@
   borrow(0.6);
   std::uint32_t granted = 0;
   for (int step = 0; step < 100; ++step) {
-    granted += takeAll(later(seconds(10) + milliseconds(100) * step));
+    granted += requestAll(later(seconds(10) + milliseconds(100) * step));
   }
   CHECK(granted <= 0.6 * (20 * 10 + 10 + 40));
 }
@@ -80,47 +80,47 @@
     wait = reply.granted > 0 ? reply.usableAfter : wait;
   }
   CHECK(wait > Duration::zero());
-  CHECK(wait <= knobs.longestDelay);
+  CHECK(wait <= knobs.maxTokenDelay);
 }
 
 TEST(QuotaPool, tokensThatComeBackAreGrantedAgainOnlyByTheirGrantor) {
   borrow(1.0);
   const Instant now = later(seconds(10));
-  takeAll(now);
+  requestAll(now);
   TokenRequest returning = asking(1);
   returning.returned = 5;
-  returning.grantor = kLife + 1;
+  returning.grantor = kIncarnation + 1;
   LONGS_EQUAL(0, pool.grant(returning, quota, now).granted);
-  returning.grantor = kLife;
+  returning.grantor = kIncarnation;
   LONGS_EQUAL(1, pool.grant(returning, quota, now).granted);
 }
 
 TEST(QuotaPool, refusalsSayWhenToComeBack) {
   borrow(1.0);
   const Instant now = later(seconds(10));
-  takeAll(now);
+  requestAll(now);
   const TokenReply reply = pool.grant(asking(10), quota, now);
   LONGS_EQUAL(0, reply.granted);
-  CHECK(reply.retryAfter >= knobs.shortestRetryAfter);
-  CHECK(reply.retryAfter <= knobs.longestRetryAfter);
+  CHECK(reply.retryAfter >= knobs.minRetryAfter);
+  CHECK(reply.retryAfter <= knobs.maxRetryAfter);
 }
 
 TEST(QuotaPool, aNewCoordinatorStartsWithFewTokens) {
   borrow(1.0);
-  CHECK(takeAll(kStart) <= knobs.startTokens + 20 * 0.25);
+  CHECK(requestAll(kStart) <= knobs.initialTokens + 20 * 0.25);
 }
 
 TEST(QuotaPool, theNextCoordinatorGoesOnWhereTheOneBeforeStopped) {
   borrow(1.0);
   const Instant now = later(seconds(10));
-  const std::uint32_t burst = takeAll(now);
-  QuotaPool next(knobs, kLife + 1);
-  for (const HandOver& message : pool.handOver(2, now)) {
+  const std::uint32_t burst = requestAll(now);
+  QuotaPool next(knobs, kIncarnation + 1);
+  for (const HandOver& message : pool.exportAccounts(2, now)) {
     LONGS_EQUAL(2, message.partition);
-    next.takeOver(message, now);
-    next.takeOver(message, now);  // The copy counts nothing.
+    next.importAccounts(message, now);
+    next.importAccounts(message, now);  // The copy counts nothing.
   }
-  next.onLend("node", 1.0, now + seconds(100), now);
+  next.addLease("node", 1.0, now + seconds(100), now);
   LONGS_EQUAL(0, next.grant(asking(1000), quota, now).granted);
   std::uint32_t granted = burst;
   for (int step = 1; step <= 50; ++step) {
@@ -134,14 +134,14 @@
   borrow(1.0);
   const Instant now = later(seconds(10));
   pool.grant(asking(1), quota, now);
-  QuotaPool next(knobs, kLife + 1);
-  for (const HandOver& message : pool.handOver(0, now)) {
-    next.takeOver(message, now);
+  QuotaPool next(knobs, kIncarnation + 1);
+  for (const HandOver& message : pool.exportAccounts(0, now)) {
+    next.importAccounts(message, now);
   }
   // The first lends are there; a bucket of their size would lose the rest.
-  next.onLend("first", 0.3, now + seconds(100), now);
+  next.addLease("first", 0.3, now + seconds(100), now);
   CHECK_FALSE(next.grant(asking(1), quota, now + milliseconds(5)).decided);
-  next.onLend("others", 0.7, now + seconds(100), now + milliseconds(10));
+  next.addLease("others", 0.7, now + seconds(100), now + milliseconds(10));
   CHECK(next.grant(asking(1000), quota, now + milliseconds(10)).granted > 30);
 }
 
@@ -149,28 +149,28 @@
   borrow(1.0);
   const Instant now = later(seconds(10));
   pool.grant(asking(1), quota, now);
-  QuotaPool next(knobs, kLife + 1);
-  for (const HandOver& message : pool.handOver(0, now)) {
-    next.takeOver(message, now);
+  QuotaPool next(knobs, kIncarnation + 1);
+  for (const HandOver& message : pool.exportAccounts(0, now)) {
+    next.importAccounts(message, now);
   }
-  next.onLend("node", 1.0, now + seconds(100), now + seconds(2));
-  CHECK(next.grant(asking(1000), quota, now + seconds(2)).granted <= knobs.startTokens + 5);
+  next.addLease("node", 1.0, now + seconds(100), now + seconds(2));
+  CHECK(next.grant(asking(1000), quota, now + seconds(2)).granted <= knobs.initialTokens + 5);
 }
 
 TEST(QuotaPool, aPoolThatLostItsSharesDoesNotBelieveItsOwnLevels) {
-  pool.onLend("node", 1.0, later(seconds(10)), kStart);
+  pool.addLease("node", 1.0, later(seconds(10)), kStart);
   pool.grant(asking(1), quota, later(seconds(9)));  // Its bucket is full.
   const Instant regained = later(seconds(12));
-  pool.onLend("node", 1.0, regained + seconds(10), regained);
+  pool.addLease("node", 1.0, regained + seconds(10), regained);
   // Another coordinator may have granted a whole bucket in between.
-  CHECK(pool.grant(asking(1000), quota, regained).granted <= knobs.startTokens + 20 * 0.25);
+  CHECK(pool.grant(asking(1000), quota, regained).granted <= knobs.initialTokens + 20 * 0.25);
 }
 
 TEST_GROUP(BorrowedShares) { BorrowedShares shares; };
 
 TEST(BorrowedShares, sumsLendsUntilTheyEnd) {
-  shares.onLend("a", 0.25, kStart + seconds(2), kStart);
-  shares.onLend("b", 0.25, kStart + seconds(1), kStart);
+  shares.addLease("a", 0.25, kStart + seconds(2), kStart);
+  shares.addLease("b", 0.25, kStart + seconds(1), kStart);
   DOUBLES_EQUAL(0.5, shares.share(kStart), 1e-9);
   DOUBLES_EQUAL(0.25, shares.share(kStart + seconds(1)), 1e-9);
   DOUBLES_EQUAL(0.0, shares.share(kStart + seconds(2)), 1e-9);
@@ -178,13 +178,13 @@
 }
 
 TEST(BorrowedShares, aLendThatEndedOnTheWayCountsNothing) {
-  shares.onLend("a", 1.0, kStart, kStart + seconds(1));
+  shares.addLease("a", 1.0, kStart, kStart + seconds(1));
   DOUBLES_EQUAL(0.0, shares.share(kStart + seconds(1)), 1e-9);
 }
 
 TEST(BorrowedShares, aRenewedLendCountsOnce) {
-  shares.onLend("a", 0.5, kStart + seconds(1), kStart);
-  shares.onLend("a", 0.5, kStart + seconds(2), kStart + milliseconds(500));
+  shares.addLease("a", 0.5, kStart + seconds(1), kStart);
+  shares.addLease("a", 0.5, kStart + seconds(2), kStart + milliseconds(500));
   DOUBLES_EQUAL(0.5, shares.share(kStart + milliseconds(1500)), 1e-9);
   DOUBLES_EQUAL(1.0, shares.shareSeconds(kStart + seconds(5)), 1e-9);
 }
@@ -205,7 +205,8 @@
   const Instant start(seconds(100));
   other.add(5, start);
   other.add(2, start + seconds(2));
-  count.addByAge(other.byAge(start + seconds(3)), start + seconds(3) + milliseconds(70));
+  count.addCountsByAge(other.countsByAge(start + seconds(3)),
+                       start + seconds(3) + milliseconds(70));
   LONGS_EQUAL(7, count.sum(start + milliseconds(5000)));
   LONGS_EQUAL(2, count.sum(start + milliseconds(5400)));
   LONGS_EQUAL(0, count.sum(start + milliseconds(7500)));
@@ -235,8 +236,8 @@
   const auto read = decodeQuotaMessage(encodeQuotaMessage(request));
   const auto& same = std::get<TokenRequest>(valueOf(read));
   STRCMP_EQUAL("tenant", same.tenant.c_str());
-  LONGS_EQUAL(1, same.forBegun);
-  LONGS_EQUAL(2, same.forBeginning);
+  LONGS_EQUAL(1, same.tokensForStarted);
+  LONGS_EQUAL(2, same.tokensForStarting);
   LONGS_EQUAL(4, same.returned);
   LONGS_EQUAL(5, same.grantor);
   const TokenReply reply{9, true, 4, true, milliseconds(200), milliseconds(30), 5};
@@ -244,8 +245,8 @@
   const auto& sameReply = std::get<TokenReply>(valueOf(readReply));
   CHECK(sameReply.retryAfter == milliseconds(200));
   CHECK(sameReply.usableAfter == milliseconds(30));
-  const auto end = decodeQuotaMessage(encodeQuotaMessage(LendEnd{2, 77}));
-  LONGS_EQUAL(77, std::get<LendEnd>(valueOf(end)).round);
+  const auto end = decodeQuotaMessage(encodeQuotaMessage(LeaseRelease{2, 77}));
+  LONGS_EQUAL(77, std::get<LeaseRelease>(valueOf(end)).round);
   const HandOver handOver{3, 8, 1, {{"a", -2.5, {1, 0, 7}}, {"b", 4, {}}}};
   const auto handed = decodeQuotaMessage(encodeQuotaMessage(handOver));
   const auto& sameHandOver = std::get<HandOver>(valueOf(handed));
@@ -262,6 +263,6 @@
 TEST(QuotaMessage, refusesWhatIsNoMessageAndNoShare) {
   CHECK_FALSE(succeeded(decodeQuotaMessage("")));
   CHECK_FALSE(succeeded(decodeQuotaMessage("no message at all, of some length")));
-  CHECK_FALSE(succeeded(decodeQuotaMessage(encodeQuotaMessage(LendReply{0, 1, 1.5}))));
-  CHECK_FALSE(succeeded(decodeQuotaMessage(encodeQuotaMessage(LendReply{0, 1, -0.1}))));
+  CHECK_FALSE(succeeded(decodeQuotaMessage(encodeQuotaMessage(LeaseGrant{0, 1, 1.5}))));
+  CHECK_FALSE(succeeded(decodeQuotaMessage(encodeQuotaMessage(LeaseGrant{0, 1, -0.1}))));
 }
--- a/tests/quota/quota_service_test.cpp
+++ b/tests/quota/quota_service_test.cpp
@@ -92,8 +92,8 @@
   settle(fleet);
   load(fleet, all, 4.0, seconds(5));
   CHECK(fleet.refused["middle"] > 0);
-  CHECK(fleet.lastRetryAfter >= QuotaKnobs{}.shortestRetryAfter);
-  CHECK(fleet.lastRetryAfter <= 2 * QuotaKnobs{}.longestRetryAfter);
+  CHECK(fleet.lastRetryAfter >= QuotaKnobs{}.minRetryAfter);
+  CHECK(fleet.lastRetryAfter <= 2 * QuotaKnobs{}.maxRetryAfter);
 }
 
 TEST(QuotaService, aSplitFleetKeepsTheLimitAndServesInBothParts) {
@@ -194,20 +194,20 @@
 TEST(QuotaService, aNodeThatHasJustStartedSpendsNothingOfWhatItLentInItsEarlierLife) {
   const QuotaKnobs knobs;
   ShareLender lender(knobs, Instant(seconds(100)));
-  CHECK_FALSE(lender.lend(0, "new", 1, Instant(seconds(100))));
-  CHECK_FALSE(lender.trySpendOwn(0, limited("t", 1e6, 1e6), 1.0, Instant(seconds(100))));
-  CHECK_TRUE(lender.lend(0, "new", 1, Instant(seconds(100)) + knobs.lendTime));
+  CHECK_FALSE(lender.tryLease(0, "new", 1, Instant(seconds(100))));
+  CHECK_FALSE(lender.trySpendLocalToken(0, limited("t", 1e6, 1e6), 1.0, Instant(seconds(100))));
+  CHECK_TRUE(lender.tryLease(0, "new", 1, Instant(seconds(100)) + knobs.leaseDuration));
 }
 
 TEST(QuotaService, aNodeLendsToOneCoordinatorAtATime) {
   const QuotaKnobs knobs;
   ShareLender lender(knobs, Instant{});
   const Instant now(seconds(10));
-  CHECK_TRUE(lender.lend(0, "first", 1, now));
-  CHECK_FALSE(lender.lend(0, "second", 1, now + knobs.lendTime - Duration(1)));
-  CHECK_TRUE(lender.lend(1, "second", 1, now));
-  CHECK_TRUE(lender.lend(0, "second", 1, now + knobs.lendTime));
-  CHECK_FALSE(lender.lend(99, "second", 1, now));
+  CHECK_TRUE(lender.tryLease(0, "first", 1, now));
+  CHECK_FALSE(lender.tryLease(0, "second", 1, now + knobs.leaseDuration - Duration(1)));
+  CHECK_TRUE(lender.tryLease(1, "second", 1, now));
+  CHECK_TRUE(lender.tryLease(0, "second", 1, now + knobs.leaseDuration));
+  CHECK_FALSE(lender.tryLease(99, "second", 1, now));
 }
 
 TEST(QuotaService, unlimitedTenantsCostNothing) {
@@ -240,7 +240,7 @@
   CHECK_FALSE(trace.lastAnswerBy.empty());
   CHECK(trace.lastAnswerAge.value_or(Duration::zero()) >= seconds(3));
   CHECK_TRUE(trace.lastAnswerDecided);
-  CHECK(trace.waited >= QuotaKnobs{}.waitLimit);
+  CHECK(trace.waited >= QuotaKnobs{}.maxWait);
 }
 
 TEST(QuotaService, anyMixOfFaultsKeepsTheLimit) {
@@ -332,13 +332,13 @@
   const QuotaKnobs knobs;
   ShareLender lender(knobs, Instant{});
   const Instant now(seconds(10));
-  const std::uint64_t life = std::uint64_t{1} << kRoundBits;
-  CHECK_TRUE(lender.lend(0, "first", 2 * life + 1, now));
-  lender.onEnd(0, "first", life + 7, now);
-  lender.onEnd(0, "other", 2 * life + 1, now);
-  CHECK_FALSE(lender.lend(0, "second", 1, now));
-  lender.onEnd(0, "first", 2 * life + 2, now);
-  CHECK_TRUE(lender.lend(0, "second", 1, now));
+  const std::uint64_t incarnation = std::uint64_t{1} << kRoundBits;
+  CHECK_TRUE(lender.tryLease(0, "first", 2 * incarnation + 1, now));
+  lender.onRelease(0, "first", incarnation + 7, now);
+  lender.onRelease(0, "other", 2 * incarnation + 1, now);
+  CHECK_FALSE(lender.tryLease(0, "second", 1, now));
+  lender.onRelease(0, "first", 2 * incarnation + 2, now);
+  CHECK_TRUE(lender.tryLease(0, "second", 1, now));
 }
 
 // After a split each half has lent to its own coordinator, and its nodes go on renewing the lends.
@@ -464,10 +464,10 @@
   std::set<std::uint64_t> numbers;
   fleet.onCarried = [&numbers](const QuotaMessage& message) {
     if (const auto* const request = std::get_if<TokenRequest>(&message)) {
-      CHECK_TRUE(numbers.insert(request->number).second);
+      CHECK_TRUE(numbers.insert(request->requestId).second);
     }
   };
-  for (int life = 0; life < 5; ++life) {
+  for (int incarnation = 0; incarnation < 5; ++incarnation) {
     // The second choice of its partition: its requests go to another node.
     fleet.request(3, large, ProgramStage::Begun);
     fleet.request(3, middle, ProgramStage::Begun);
