--- a/src/membership/backend_notices.cpp
+++ b/src/membership/backend_notices.cpp
@@ -38,12 +38,12 @@
 
 std::optional<std::uint32_t> BackendNotices::announce(std::uint32_t backendHash, bool leaving) {
   const std::optional<std::uint32_t> held = find(backendHash);
-  // Many nodes notice the same refusal; only what is new raises the version.
+  // Many nodes may observe the same rejection; the version changes only with the state.
   if (held && notices_[*held].leaving == leaving) {
     return std::nullopt;
   }
   if (!held && !leaving) {
-    return std::nullopt;  // A back end serves unless somebody said that it leaves.
+    return std::nullopt;  // A back end without a notice is available.
   }
   const std::uint32_t version = held ? notices_[*held].version : 0;
   if (version == std::numeric_limits<std::uint32_t>::max()) {
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -6,7 +6,7 @@
 namespace gorsetrail::membership {
 namespace {
 
-/// Strength of a state among beliefs of one life with the same refutation counter.
+/// Precedence of a state among updates with the same incarnation and refutation counter.
 unsigned rankOf(MemberState state) {
   switch (state) {
     case MemberState::Alive:
@@ -83,7 +83,7 @@
 void MemberTable::remove(MemberIndex index) {
   eraseByNode(index);
   deadCount_ -= entries_[index].state == MemberState::Dead ? 1 : 0;
-  // Neither probed nor spread: `Terminated` is final, and the unknown incarnation is not refreshed.
+  // A `Terminated` member is not probed, and one with the unknown incarnation is not disseminated.
   entries_[index].incarnation = Incarnation(0);
   entries_[index].state = MemberState::Terminated;
 }
--- a/src/membership/membership_codec.cpp
+++ b/src/membership/membership_codec.cpp
@@ -8,7 +8,7 @@
 namespace gorsetrail::membership {
 namespace {
 
-Error unreadable(const std::string& reason) {
+Error decodeError(const std::string& reason) {
   return Error{ErrorKind::InvalidFrame, "membership message", reason,
                "run the same version on every node"};
 }
@@ -31,7 +31,7 @@
   return beliefs;
 }
 
-/// \return nothing when a state is unknown.
+/// \return nothing if a member state is unknown.
 std::optional<Piggyback> readPiggyback(const fbs::Message& message) {
   Piggyback piggyback;
   piggyback.senderIncarnation = Incarnation(message.sender_incarnation());
@@ -69,12 +69,12 @@
   const auto* const begin = reinterpret_cast<const std::uint8_t*>(bytes.data());
   flatbuffers::Verifier verifier(begin, bytes.size());
   if (!fbs::VerifyMessageBuffer(verifier)) {
-    return unreadable("the bytes are no membership message");
+    return decodeError("malformed membership message");
   }
   const fbs::Message* const read = fbs::GetMessage(begin);
   std::optional<Piggyback> piggyback = readPiggyback(*read);
   if (!piggyback) {
-    return unreadable("a member's state is unknown");
+    return decodeError("unknown member state");
   }
   switch (read->kind()) {
     case fbs::MessageKind::ProbeRequest:
@@ -85,7 +85,7 @@
       return MembershipMessage(
           IndirectProbeRequest{read->probe(), NodeId(read->target()), std::move(*piggyback)});
   }
-  return unreadable("the kind of message is unknown");
+  return decodeError("unknown message kind");
 }
 
 }  // namespace gorsetrail::membership
--- a/src/membership/swim_dissemination.cpp
+++ b/src/membership/swim_dissemination.cpp
@@ -1,4 +1,4 @@
-// What rides on membership messages: beliefs, back-end notices, the bundle version in force.
+// Gossip piggybacked on membership messages: member updates, back-end notices, bundle version.
 #include <algorithm>
 
 #include "membership/swim_membership.h"
@@ -6,21 +6,22 @@
 namespace gorsetrail::membership {
 namespace {
 
-/// Table entries sent beside news, so that a restarted or long partitioned node learns the rest.
+/// Table entries added to each message in rotation, so that restarted or long partitioned nodes
+/// receive the full state.
 constexpr std::size_t kRefreshUpdates = 3;
 constexpr std::size_t kRefreshNotices = 1;
-/// Extra probes that a piece of urgent news causes at each node that hears it first.
+/// Extra probes that each node sends after learning of an urgent update.
 constexpr std::uint32_t kUrgentFanOut = 3;
-/// Extra probes that may wait at one time.
+/// Maximum number of queued extra probes.
 constexpr std::uint32_t kMaximumUrgentProbes = 6;
-/// At most one report of a newer bundle in this time: each makes the node fetch.
+/// Minimum interval between reports of a newer bundle, since each triggers a fetch.
 constexpr Duration kBundleReportInterval = milliseconds(100);
-/// A report whose fetch came to nothing (a lost message) is made again after this time.
+/// A reported bundle version that is still missing is reported again after this.
 constexpr Duration kBundleReportRetryInterval = seconds(5);
 
 }  // namespace
 
-/// \return whether the sender is the life of that node that is believed to be the latest.
+/// \return whether the message came from the latest known incarnation of the sender.
 bool SwimMembership::readPiggyback(MemberIndex sender, const Piggyback& piggyback, Instant now) {
   const MemberUpdate current = table_.updateAt(sender);
   if (piggyback.senderIncarnation > current.incarnation) {
@@ -63,7 +64,7 @@
   piggyback.senderIncarnation = incarnation_;
   piggyback.bundleInForce = bundleInForce_;
   const std::optional<MemberIndex> receiver = table_.find(to);
-  // What is believed of the receiver goes first: only the receiver can refute it.
+  // The receiver's own state goes first, because only the receiver can refute it.
   if (receiver && (receiverIsOutdated || table_.stateAt(*receiver) != MemberState::Alive)) {
     piggyback.updates.push_back(table_.updateAt(*receiver));
   }
@@ -116,7 +117,7 @@
     suspicions_.push_back({index, now + knobs_.suspicionTimeout, std::nullopt});
   }
   if (result == MergeResult::Changed) {
-    // A fleet that starts learns every life for the first time: that may take its time.
+    // First contacts are frequent while a fleet starts and need no urgent probes.
     const std::uint32_t extra = isIntroduction ? 0 : kUrgentFanOut;
     pendingUrgentProbes_ = std::min(kMaximumUrgentProbes, pendingUrgentProbes_ + extra);
     commands_.emplace_back(MemberChanged{update});
@@ -135,15 +136,15 @@
   }
 }
 
-/// The others know a later incarnation of this node: incarnations come from the time of day, which
-/// was set back between two starts of the process. They would take this one for its past for ever.
+/// Other nodes know a later incarnation of this node, because incarnations come from the system
+/// clock and it was set back before a restart. They would ignore this incarnation permanently.
 void SwimMembership::adoptIncarnationAbove(Incarnation believed) {
   incarnation_ = believed.next();
   ownRefutation_ = 0;
   refute(0);
 }
 
-/// Raises the own refutation counter above `atLeast` and spreads the own state anew.
+/// Raises this node's refutation counter above `atLeast` and disseminates its state again.
 void SwimMembership::refute(std::uint32_t atLeast) {
   ownRefutation_ = std::max(ownRefutation_, atLeast) + 1;
   const MemberUpdate own{self_, incarnation_, ownState_, ownRefutation_};
--- a/src/membership/swim_membership.cpp
+++ b/src/membership/swim_membership.cpp
@@ -1,4 +1,4 @@
-// Probing, suspicion and the public face; swim_dissemination.cpp has what rides on messages.
+// Probing and suspicion; `swim_dissemination.cpp` implements the piggybacked gossip.
 #include "membership/swim_membership.h"
 
 #include <algorithm>
@@ -8,14 +8,16 @@
 namespace gorsetrail::membership {
 namespace {
 
-/// Dead members are probed once in so many periods, one of them, so that the two sides of a
-/// partition find each other after hours at a rate that does not depend on the fleet's size.
+/// One dead member is probed once in this many periods, so that the sides of a network partition
+/// find each other again at a rate independent of the fleet size.
 constexpr std::uint32_t kPeriodsPerDeadProbe = 4;
-/// Spacing of the extra probes that carry urgent news.
+/// Interval between the extra probes that carry urgent updates.
 constexpr Duration kUrgentProbeInterval = milliseconds(50);
-/// A node tells its suspect so often that it is suspected: a lost message must not kill it.
+/// Interval at which a suspected member is probed again, so that a lost message does not prevent
+/// its refutation.
 constexpr Duration kSuspectProbeInterval = milliseconds(200);
-/// Probes made for others at one time; further requests are dropped (the origin has other helpers).
+/// Maximum number of concurrent probes on behalf of other nodes; further requests are dropped,
+/// since the origin asks several nodes.
 constexpr std::size_t kMaximumRelayedProbes = 16;
 
 bool isProbed(MemberState state) {
@@ -68,8 +70,8 @@
   }
   const MemberIndex index = table_.add(member.node);
   members_.push_back(std::move(member));
-  // A random place in the order, so that nodes which learn the list in one order do not probe in
-  // it.
+  // Inserted at a random position so that nodes with the same member list probe in different
+  // orders.
   probeOrder_.push_back(static_cast<std::uint16_t>(index));
   std::swap(probeOrder_.back(), probeOrder_[random_.below(probeOrder_.size())]);
   return true;
@@ -93,7 +95,7 @@
 void SwimMembership::onMembershipMessage(NodeId from, const MembershipMessage& message,
                                          Instant now) {
   if (isIsolated(now)) {
-    // The suspects could not refute while nothing came through.
+    // Suspected members could not refute while this node received no messages.
     extendSuspicions(knobs_.suspicionTimeout);
   }
   lastHeardAt_ = now;
@@ -112,7 +114,7 @@
 void SwimMembership::handle(NodeId from, const ProbeReply& reply, Instant now) {
   const std::optional<MemberIndex> sender = table_.find(from);
   if (!sender || !readPiggyback(*sender, reply.piggyback, now)) {
-    return;  // An earlier life answered: that proves nothing about the present one.
+    return;  // A reply from an earlier incarnation does not show that the present one is alive.
   }
   if (outstanding_ && outstanding_->probe == reply.probe) {
     outstanding_.reset();
@@ -150,7 +152,7 @@
     }
     const MemberUpdate current = table_.updateAt(*index);
     const bool isSameIncarnation = current.incarnation == line.incarnation;
-    // The list lags: about a life that is known already it may only add that it leaves or ended.
+    // The list may be stale: for a known incarnation only `Leaving` and `Terminated` are accepted.
     if (isSameIncarnation && line.state != MemberState::Terminated &&
         line.state != MemberState::Leaving) {
       continue;
@@ -166,7 +168,7 @@
     started_ = true;
     lastTick_ = now;
     lastHeardAt_ = now;
-    // A random first moment keeps nodes that start together from probing in step.
+    // A random initial delay prevents nodes that start together from probing in step.
     nextPeriodAt_ = now + Duration(static_cast<Duration::rep>(random_.below(
                               static_cast<std::uint64_t>(knobs_.probePeriod.count()))));
   }
@@ -189,7 +191,7 @@
   sendUrgentProbes(now);
 }
 
-/// A node that did not run for a while must not take its own silence for that of others.
+/// After a suspension of this process, missing replies do not count as failures of other nodes.
 void SwimMembership::extendDeadlinesAfterPause(Instant now) {
   const Duration gap = now - lastTick_;
   if (gap < knobs_.probePeriod) {
@@ -221,7 +223,7 @@
   }
 }
 
-/// Nobody at all is heard: rather this node's own links failed than all others at once.
+/// \return whether no message arrived for so long that this node's own links have probably failed.
 bool SwimMembership::isIsolated(Instant now) const {
   return now - lastHeardAt_ >= knobs_.isolationSilence;
 }
@@ -287,8 +289,8 @@
   }
 }
 
-/// Urgent news does not wait for the next period: a few extra probes, spaced out, so that even a
-/// flood of news (a zone lost at once) costs each node a bounded rate.
+/// Sends extra probes for urgent updates without waiting for the next period. The probes are spaced
+/// so that the rate stays bounded even if many updates arrive at once.
 void SwimMembership::sendUrgentProbes(Instant now) {
   if (pendingUrgentProbes_ == 0 || now < nextUrgentProbeAt_) {
     return;
@@ -332,7 +334,7 @@
   }
   const auto start = static_cast<MemberIndex>(random_.below(members_.size()));
   for (std::size_t step = 0; step < members_.size(); ++step) {
-    // Steps by a random order, so that members after a dead range are not preferred.
+    // Iterates in random order so that members after a range of dead ones are not preferred.
     const MemberIndex candidate = probeOrder_[(start + step) % members_.size()];
     if (candidate != selfIndex_ && predicate(table_.stateAt(candidate))) {
       return candidate;
--- a/src/quota/quota_coordinator.cpp
+++ b/src/quota/quota_coordinator.cpp
@@ -9,12 +9,13 @@
 namespace gorsetrail::quota {
 namespace {
 
-/// A node that is asked for tokens goes on borrowing for so long, by choice of those who ask.
+/// How long a node keeps renewing leases after a token request, even if it is not the first
+/// candidate.
 constexpr Duration kCoordinationTimeout = seconds(1);
-/// One in a hundred datagrams may be lost: each message of a hand-over is sent so often.
+/// Each hand-over message is sent this often, because datagrams may be lost.
 constexpr int kHandOverCopies = 2;
 
-/// \return the place of a coordinator in the order that decides between two of them.
+/// \return the rank of a coordinator; of two with equal claims the higher rank wins.
 std::uint64_t rankOf(std::uint32_t partition, const std::string& address) {
   return XXH64(address.data(), address.size(), partition);
 }
@@ -35,9 +36,9 @@
 void QuotaCoordinator::onLeaseGrant(const std::string& from, const LeaseGrant& reply) {
   const auto found = partitionStates_.find(reply.partition);
   if (found == partitionStates_.end() || found->second.round != reply.round) {
-    return;  // To an earlier round, or to an earlier life.
+    return;  // Reply to an earlier round or to an earlier incarnation.
   }
-  // Counted from before the request was sent, so that it ends here before it ends there.
+  // Counted from the request, so that the lease expires here before it expires at the node.
   found->second.pool->addLease(from, reply.share,
                                found->second.roundStartedAt + knobs_.leaseDuration, clock_());
 }
@@ -45,7 +46,7 @@
 QuotaCoordinator::PartitionState& QuotaCoordinator::stateOf(std::uint32_t partition) {
   PartitionState& state = partitionStates_[partition];
   if (!state.pool) {
-    // Numbers of rounds start at random: a reply to an earlier life must not fit.
+    // Rounds start at a random value so that replies to an earlier incarnation do not match.
     state.round = (random_.below(UINT32_MAX) + 1) << kRoundBits;
     state.pool = std::make_unique<QuotaPool>(knobs_, incarnation_ ^ state.round);
   }
@@ -114,7 +115,7 @@
       }
     }
   }
-  // Replies that are still on their way find nothing to count for.
+  // Late replies find no state, so released leases are not counted again.
   partitionStates_.clear();
   broadcastReleases(releases);
 }
--- a/src/quota/quota_message.cpp
+++ b/src/quota/quota_message.cpp
@@ -70,8 +70,8 @@
 }
 
 Error invalidMessage() {
-  return {ErrorKind::InvalidFrame, "quota message", "the bytes are no such message",
-          "run the same version on every node"};
+  return {ErrorKind::InvalidFrame, "quota message",
+          "malformed quota message or a field out of range", "run the same version on every node"};
 }
 
 Result<QuotaMessage> readHandOver(const fbs::HandOver& read) {
@@ -98,6 +98,8 @@
   return std::visit([](const auto& one) { return encode(one); }, message);
 }
 
+// The schema keeps older names: LendRequest, LendReply, LendEnd, number, holds_half, for_begun,
+// for_beginning and is_ample.
 Result<QuotaMessage> decodeQuotaMessage(std::string_view bytes) {
   const auto* const begin = reinterpret_cast<const std::uint8_t*>(bytes.data());
   flatbuffers::Verifier verifier(begin, bytes.size());
--- a/src/quota/quota_pool.cpp
+++ b/src/quota/quota_pool.cpp
@@ -6,25 +6,26 @@
 namespace gorsetrail::quota {
 namespace {
 
-/// Keeps waits finite without a rate, in requests a second.
+/// Keeps computed delays finite if the rate is 0; in requests per second.
 constexpr double kMinRate = 1e-3;
-/// Tenants in one message of a hand-over: some 3 KB with names of 20 bytes and 100 B of counts.
+/// Limits a hand-over message to about 3 KB, assuming names of 20 bytes and 100 bytes of counts.
 constexpr std::size_t kAccountsPerMessage = 24;
-/// Lends follow a hand-over within a round or two. Later, others may have granted in between.
+/// A hand-over is discarded if no lease follows within this time, because another coordinator may
+/// have granted tokens since.
 constexpr Duration kHandOverLifetime = seconds(1);
-constexpr double kLimitWindowSeconds = 5.0;  ///< The window of the operators' rule.
+constexpr double kLimitWindowSeconds = 5.0;  ///< Window in which a limit is checked.
 
 std::uint32_t wholeTokens(double level) {
   return static_cast<std::uint32_t>(std::max(0.0, std::floor(level)));
 }
 
-/// \return the most tokens that a tenant's bucket holds, with all shares borrowed.
+/// \return the bucket capacity in tokens with all shares leased.
 double bucketCapacityOf(const QuotaKnobs& knobs, const tenant::Quota& quota) {
   return (1.0 + knobs.extraBurstFraction) * quota.burst + knobs.extraBurstTokens +
          knobs.extraBurstSeconds * quota.requestsPerSecond;
 }
 
-/// \return the most tokens that are granted in any window, with all shares borrowed.
+/// \return the maximum number of tokens granted in any window, with all shares leased.
 double windowAllowanceOf(const QuotaKnobs& knobs, const tenant::Quota& quota) {
   return knobs.windowRateSeconds * quota.requestsPerSecond +
          (1.0 + knobs.extraBurstFraction) * quota.burst + knobs.windowExtraTokens;
@@ -48,16 +49,15 @@
 }
 
 void QuotaPool::importAccounts(const HandOver& handOver, Instant now) {
-  // Copies of a message come within its lifetime; without an end the list would grow by an entry
-  // with every planned stop of a coordinator.
+  // Duplicates arrive within this time; older entries are removed to bound the map.
   std::erase_if(importedParts_,
                 [now](const auto& entry) { return now - entry.second > 2 * kHandOverLifetime; });
   if (!importedParts_.emplace(std::pair(handOver.grantor, handOver.part), now).second) {
-    return;  // Each message is sent more than once.
+    return;  // Duplicate message.
   }
   const bool isLaterPart = importedAt_ && now - *importedAt_ <= kHandOverLifetime;
   if (shares_.share(now) <= 0 && !isLaterPart) {
-    accounts_.clear();  // Older than what is handed over.
+    accounts_.clear();  // Obsoleted by the hand-over.
     importedAt_ = now;
   }
   for (const HandedAccount& handed : handOver.accounts) {
@@ -68,7 +68,7 @@
       account.quorumLosses = shares_.quorumLosses(now);
       account.lastUsedAt = now;
     }
-    // Where both granted, each held its part of the shares: the parts add up.
+    // If both coordinators granted tokens, each held a part of the shares, so levels add up.
     account.level += handed.level;
     account.granted.addCountsByAge(handed.granted, now);
   }
@@ -86,8 +86,8 @@
   return messages;
 }
 
-// The coordinator before may have granted a whole bucket a moment ago, and both together must stay
-// within what a pool allows in a window: the new one grants so much less at first.
+// The previous coordinator may just have granted a full bucket, and both together must stay within
+// the window limit. The initial level is reduced by the possible excess.
 double QuotaPool::conservativeLevelOf(const tenant::Quota& quota) const {
   const double worstCase = bucketCapacityOf(knobs_, quota) +
                            kLimitWindowSeconds * quota.requestsPerSecond + knobs_.initialTokens;
@@ -100,7 +100,7 @@
   const auto [entry, isNew] = accounts_.try_emplace(tenant);
   Account& account = entry->second;
   if (isNew) {
-    // As if the tenant had been known, and silent, since the pool began or began anew.
+    // Treats the tenant as idle since the pool started or last fell below half of the shares.
     account.level = conservativeLevelOf(quota);
     account.quorumLosses = shares_.quorumLosses(now);
     account.shareSeconds = shares_.shareSecondsAtQuorumLoss();
@@ -147,8 +147,8 @@
   reply.requestId = request.requestId;
   reply.grantor = incarnation_;
   const double share = shares_.share(now);
-  // Just after a hand-over lends come in within a few ways. Buckets are as large as the share: one
-  // that is looked at meanwhile would lose what was handed over.
+  // Leases arrive within a few network delays after a hand-over. The bucket capacity follows the
+  // leased share, so an earlier access would truncate the handed-over level.
   const bool isCollectingLeases = importedAt_ && now - *importedAt_ < knobs_.leaseRenewalInterval;
   if (share <= 0 || (isCollectingLeases && share < knobs_.quorumShare)) {
     return reply;
@@ -166,7 +166,7 @@
       std::min(account.level + quota.requestsPerSecond * share * delay.count(), inWindow);
   const double reserved = reservedTokensOf(account, quota, now);
   const std::uint32_t waiting = request.tokensForStarted + request.tokensForStarting;
-  // Programs begin on tokens that are not made yet only while begun ones stay below the rate.
+  // Unaccrued tokens serve new programs only while running ones stay below the rate.
   reply.mayStartPrograms = (reserved > 0 ? level : levelAfterDelay) - waiting >= reserved;
   const std::uint32_t allowed = reply.mayStartPrograms ? waiting : request.tokensForStarted;
   const std::uint32_t granted = std::min(allowed, wholeTokens(levelAfterDelay));
--- a/src/quota/quota_service.cpp
+++ b/src/quota/quota_service.cpp
@@ -8,12 +8,12 @@
 namespace gorsetrail::quota {
 namespace {
 
-/// Accounts of tenants that nobody asked for in so long are dropped; their tokens are void by then.
+/// Accounts unused for this long are dropped; their tokens have expired by then.
 constexpr Duration kIdleAccountLifetime = seconds(30);
-/// Callers of one tenant come back spread over this share of the time they are told.
+/// Maximum jitter as a fraction of the retry delay, so that callers do not retry in step.
 constexpr double kRetryJitter = 0.5;
 
-/// Numbers of one life differ in their low bits only.
+/// Request ids of one incarnation differ in these low bits only.
 constexpr unsigned kRequestIdBits = 32;
 
 }  // namespace
@@ -35,8 +35,7 @@
   return static_cast<std::uint32_t>(XXH64(tenant.data(), tenant.size(), 0) % knobs_.partitions);
 }
 
-// A node may be its own coordinator. Its messages to itself are handled one after the other, never
-// inside each other.
+// Messages from this node to itself are queued and handled one after the other, to avoid recursion.
 void QuotaService::send(const std::string& to, const QuotaMessage& message) {
   if (to != ownAddress_) {
     fleet_.send(to, message);
@@ -97,8 +96,8 @@
   }
 }
 
-// Which grant the token belongs to is not known: it gets the time of the one that is void first,
-// so it is never spent later than its own time allows.
+// The grant of the returned token is unknown. It gets the earliest expiry of all spent tokens, so
+// it is never used after its own expiry.
 void QuotaService::giveBack(const std::string& tenant) {
   const auto found = accounts_.find(tenant);
   if (found == accounts_.end()) {
@@ -153,7 +152,7 @@
   for (const Waiter& waiter : account.waiters) {
     ++(waiter.stage == ProgramStage::Begun ? request.tokensForStarted : request.tokensForStarting);
   }
-  // Tokens at hand are void or do not serve those who wait; this node will not spend them any more.
+  // The remaining tokens have expired or do not serve the waiters; this node no longer uses them.
   request.returned = account.tokens.count;
   request.grantor = account.tokens.grantor;
   account.tokens = {};
@@ -206,7 +205,7 @@
 void QuotaService::onTokenReply(const TokenReply& reply) {
   const auto entry = tenantByRequestId_.find(reply.requestId);
   if (entry == tenantByRequestId_.end()) {
-    return;  // Too late: it was asked again, and what this grants is void.
+    return;  // Late reply to a request that was repeated or abandoned; its tokens are not used.
   }
   Account& account = accounts_.at(entry->second);
   lastAnswers_[partitionOf(account.tenant.name)] = {account.pendingRequest->coordinator, clock_(),
@@ -228,8 +227,8 @@
   serveWaiters(account, pending, reply);
 }
 
-// A coordinator that is not the first choice keeps deciding while some nodes ask it. The others ask
-// the first choices only, which give way to it and decide nothing, so they have to be told of it.
+// A coordinator that is not the first candidate keeps deciding while some nodes ask it. The first
+// candidate then yields to it and decides nothing, so its callers are redirected.
 void QuotaService::redirectOrPause(Account& account, const std::string& coordinator) {
   const PendingRequest& pendingRequest = *account.pendingRequest;
   const bool isNew = !coordinator.empty() && coordinator != pendingRequest.coordinator;
@@ -255,7 +254,7 @@
 void QuotaService::serveWaiters(Account& account, const PendingRequest& pending,
                                 const TokenReply& reply) {
   const Instant now = clock_();
-  // Programs that have begun go first: tokens may not be enough for all.
+  // Running programs are served first, since the tokens may not suffice for all.
   std::deque<Waiter> decided;
   const std::size_t count = std::min(pending.waiters, account.waiters.size());
   for (std::size_t index = 0; index < count; ++index) {
@@ -270,8 +269,7 @@
   std::vector<std::pair<Callback, QuotaDecision>> answers;
   for (Waiter& waiter : decided) {
     QuotaDecision decision = QuotaDecision{};
-    // Tokens were granted for each waiter by itself when the reply says that they are ample; else
-    // only for programs that have begun.
+    // If `mayStartPrograms` is set, the reply covers every waiter; otherwise only running programs.
     if (!trySpend(account, waiter.stage, now)) {
       const bool isUnknown = isExpired && granted > 0;
       decision = {isUnknown ? QuotaVerdict::Unknown : QuotaVerdict::OverLimit,
@@ -351,7 +349,7 @@
   if (now - account.pendingRequest->sentAt < pause) {
     return;
   }
-  // Without a coordinator the node's own share decides, as far as it is not lent.
+  // Without a coordinator the node's own share is used, unless it is leased out.
   const double share = fleet_.ownShare();
   if (lender_.trySpendLocalToken(partitionOf(account.tenant.name), account.tenant, share, now)) {
     ++counters_.grantedFromOwnShare;
@@ -367,7 +365,7 @@
     sendTokenRequest(account, pending.coordinator, pending.attempts + 1);
     return;
   }
-  // It is silent, or has not borrowed enough.
+  // The coordinator did not reply or does not hold a sufficient share.
   const std::uint32_t partition = partitionOf(account.tenant.name);
   if (const auto preferred = preferredCoordinators_.find(partition);
       preferred != preferredCoordinators_.end() && preferred->second == pending.coordinator) {
--- a/src/quota/share_lender.cpp
+++ b/src/quota/share_lender.cpp
@@ -42,7 +42,7 @@
   if (now < leaseExpiry) {
     return false;
   }
-  // Tokens come in only while the share is the node's own.
+  // Tokens accrue only while the share is not leased out.
   const auto [entry, isNew] = localBuckets_.try_emplace(tenant.name, LocalBucket{0, leaseExpiry});
   LocalBucket& account = entry->second;
   if (account.refilledAt < leaseExpiry) {
--- a/tests/membership/dissemination_test.cpp
+++ b/tests/membership/dissemination_test.cpp
@@ -37,7 +37,7 @@
   }
 }
 
-TEST(Dissemination, RacingNoticesEndTheSameEverywhere) {
+TEST(Dissemination, ConcurrentNoticesConverge) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     MembershipNetwork network(30, seed);
     network.run(seconds(2));
@@ -133,7 +133,7 @@
   CHECK(queue.empty());
 }
 
-TEST(Dissemination, ChangesGoBeforeIntroductions) {
+TEST(Dissemination, ChangesPrecedeFirstContacts) {
   UpdateQueue queue(3);
   queue.add(1, UpdatePriority::Change);
   for (std::uint32_t item = 2; item <= 50; ++item) {
@@ -154,7 +154,7 @@
   const std::size_t before = mallinfo2().uordblks;
   MembershipServicePtr service =
       makeMembershipService(NodeId(1), Incarnation(1), members, MembershipKnobs{}, 1);
-  // Every member was just learnt and every back end announced: the largest queues.
+  // First contact with every member fills the queues.
   for (std::uint32_t number = 2; number <= 400; ++number) {
     service->onMembershipMessage(
         NodeId(number), ProbeReply{1, {Incarnation(1), BundleVersion(0), {}, {}}}, Instant{});
--- a/tests/membership/dynamic_members_test.cpp
+++ b/tests/membership/dynamic_members_test.cpp
@@ -1,4 +1,4 @@
-// Nodes that join and go while the detector runs, lost clocks, and a node that is cut off from all.
+// Guards membership changes at run time, clock errors and isolated nodes.
 #include "membership/membership_codec.h"
 #include "membership_network.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A detector without a network: what it sends is looked at or dropped.
+/// A failure detector without a network; its messages are inspected or discarded.
 struct StandaloneDetector {
   static MembershipKnobs knobs() {
     MembershipKnobs knobs;
@@ -20,7 +20,7 @@
                                                        {Member{NodeId(1), "", "", ""}}, knobs(), 7);
   Instant now{seconds(100)};
 
-  /// Runs for this long; node 9 speaks up each tick when `heardFromOther`.
+  /// Runs for `span`; if `heardFromOther`, a message from node 9 arrives at each tick.
   void run(Duration span, bool heardFromOther) {
     const Instant end = now + span;
     while (now < end) {
@@ -38,7 +38,7 @@
 
 TEST_GROUP(DynamicMembers) { StandaloneDetector detector; };
 
-TEST(DynamicMembers, aNodeThatJoinsIsWatchedFromThenOn) {
+TEST(DynamicMembers, addedNodeIsMonitored) {
   detector.run(seconds(1), true);
   CHECK_FALSE(detector.service->knows(NodeId(2)));
   detector.add(2);
@@ -47,7 +47,7 @@
   CHECK(detector.service->stateOf(NodeId(2)) == MemberState::Dead);
 }
 
-TEST(DynamicMembers, aNodeThatIsRemovedIsForgottenAndItsPlaceStartsAnew) {
+TEST(DynamicMembers, removedNodeIsForgottenAndItsIndexReset) {
   detector.add(2);
   detector.run(seconds(4), true);
   detector.service->removeMember(NodeId(2));
@@ -61,13 +61,13 @@
   CHECK(detector.service->stateOf(NodeId(3)) == MemberState::Dead);
 }
 
-TEST(DynamicMembers, aNodeThatHearsFromNobodyDeclaresNobodyDead) {
-  StandaloneDetector cut;
-  cut.add(2);
-  cut.add(3);
-  cut.run(seconds(30), false);
-  CHECK(cut.service->stateOf(NodeId(2)) != MemberState::Dead);
-  CHECK(cut.service->stateOf(NodeId(3)) != MemberState::Dead);
+TEST(DynamicMembers, isolatedNodeDeclaresNobodyDead) {
+  StandaloneDetector isolated;
+  isolated.add(2);
+  isolated.add(3);
+  isolated.run(seconds(30), false);
+  CHECK(isolated.service->stateOf(NodeId(2)) != MemberState::Dead);
+  CHECK(isolated.service->stateOf(NodeId(3)) != MemberState::Dead);
 }
 
 TEST(DynamicMembers, theNumberOfMembersIsBounded) {
@@ -80,7 +80,7 @@
   CHECK_TRUE(detector.service->addMember({NodeId(5), "", "other address", ""}));
 }
 
-TEST(DynamicMembers, aNodeWhoseClockWasSetBackIsBelievedAgain) {
+TEST(DynamicMembers, nodeWithClockSetBackIsAcceptedAgain) {
   MembershipNetwork network(12);
   network.run(seconds(5));
   network.start(3, 500);
@@ -88,13 +88,13 @@
   network.at(3).running = false;
   network.run(seconds(5));
   CHECK_TRUE(network.allSee(3, MemberState::Dead));
-  network.start(3, 400);  // Incarnations are times of day; the clock was set back meanwhile.
+  network.start(3, 400);  // Incarnations come from the system clock, which was set back.
   const auto elapsed =
       network.runUntil([&] { return network.allSee(3, MemberState::Alive); }, seconds(10));
   CHECK_TRUE(elapsed.has_value());
 }
 
-TEST(DynamicMembers, aProbeOfANodeThatIsNotListedYetIsAnswered) {
+TEST(DynamicMembers, answersProbesFromUnknownNodes) {
   static_cast<void>(detector.service->takeCommands());
   detector.service->onMembershipMessage(NodeId(77), ProbeRequest{5, {Incarnation(1), {}, {}, {}}},
                                         detector.now);
@@ -107,7 +107,7 @@
 
 TEST_GROUP(MembershipCodec){};
 
-TEST(MembershipCodec, keepsEveryFieldOfAMessage) {
+TEST(MembershipCodec, roundTripPreservesFields) {
   const MemberUpdate update{NodeId(0x0A010026), Incarnation(1777141099266), MemberState::Suspected,
                             3};
   const IndirectProbeRequest sent{8, NodeId(4), {Incarnation(12), {}, {update}, {}}};
@@ -123,7 +123,7 @@
   CHECK(got.state == update.state && got.refutation == update.refutation);
 }
 
-TEST(MembershipCodec, refusesBytesThatAreNoMessageAndStatesThatAreUnknown) {
+TEST(MembershipCodec, rejectsMalformedMessagesAndUnknownStates) {
   CHECK_FALSE(succeeded(decodeMembershipMessage("no message")));
   const auto unknown = static_cast<MemberState>(9);
   const ProbeRequest sent{1, {Incarnation(1), {}, {{NodeId(2), Incarnation(1), unknown, 0}}, {}}};
--- a/tests/membership/failure_detection_test.cpp
+++ b/tests/membership/failure_detection_test.cpp
@@ -42,7 +42,7 @@
   }
 }
 
-// News of a death was starved by hundreds of introductions: 15 of 400 nodes missed it for 10 s.
+// Guards against first contacts delaying the dissemination of a failure.
 TEST(FailureDetection, DeathSpreadsInAFleetThatHasJustStarted) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     MembershipNetwork network(400, seed);
@@ -54,7 +54,7 @@
   }
 }
 
-TEST(FailureDetection, LossOfOneMessageInFiveKillsNobody) {
+TEST(FailureDetection, LossOfOneMessageInFiveDeclaresNobodyDead) {
   MembershipNetwork network(20);
   RandomSource random(3);
   network.isLost = [&](std::uint32_t, std::uint32_t) { return random.below(5) == 0; };
@@ -79,7 +79,7 @@
   CHECK(network.allAlive());
 }
 
-TEST(FailureDetection, PausedNodeBlamesNobodyAndRefutesItsDeath) {
+TEST(FailureDetection, SuspendedNodeSuspectsNobodyAndRefutesItsDeath) {
   MembershipNetwork network(20);
   network.run(seconds(5));
   network.at(5).running = false;
@@ -124,7 +124,7 @@
   }
 }
 
-TEST(FailureDetection, LossOfAHalfCostsABoundedRate) {
+TEST(FailureDetection, FailureOfHalfTheNodesKeepsTheMessageRateBounded) {
   MembershipNetwork network(100);
   network.run(seconds(20));
   const std::uint64_t before = network.at(1).messagesSent;
--- a/tests/membership/member_life_test.cpp
+++ b/tests/membership/member_life_test.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP(MemberIncarnation){};
 
-TEST(MemberIncarnation, RestartedNodeSupersedesItsEarlierLife) {
+TEST(MemberIncarnation, RestartedNodeSupersedesItsEarlierIncarnation) {
   MembershipNetwork network(20);
   network.run(seconds(5));
   network.at(3).running = false;
@@ -25,7 +25,7 @@
   CHECK(elapsed.has_value());
 }
 
-TEST(MemberIncarnation, MessageOfAnEarlierLifeChangesNothing) {
+TEST(MemberIncarnation, MessageOfAnEarlierIncarnationChangesNothing) {
   MembershipNetwork network(4);
   network.run(seconds(3));
   network.start(2, 5);
@@ -45,7 +45,8 @@
   network.service(1).onMachineList(list, network.now());
   network.run(seconds(5));
   CHECK(network.allSee(4, MemberState::Terminated));
-  network.at(4).running = true;  // The list was wrong or the node a zombie: it stays terminated.
+  // The list was wrong or the process is still running; the node stays terminated.
+  network.at(4).running = true;
   network.run(seconds(10));
   CHECK(network.allSee(4, MemberState::Terminated));
   network.start(4, 2);
@@ -54,7 +55,7 @@
   CHECK(elapsed.has_value());
 }
 
-TEST(MemberIncarnation, SilenceOrStaleLinesOfTheListProveNothing) {
+TEST(MemberIncarnation, MissingOrStaleListEntriesChangeNothing) {
   MembershipNetwork network(3);
   network.run(seconds(3));
   network.start(2, 7);
@@ -113,21 +114,21 @@
   CHECK(network.service(1).stateOf(NodeId(77)) == MemberState::Dead);
 }
 
-TEST(MemberIncarnation, BeliefsAreTotallyOrdered) {
-  std::vector<MemberUpdate> beliefs;
+TEST(MemberIncarnation, UpdatesAreTotallyOrdered) {
+  std::vector<MemberUpdate> updates;
   for (std::uint64_t incarnation = 1; incarnation <= 2; ++incarnation) {
     for (std::uint32_t refutation = 0; refutation <= 2; ++refutation) {
       for (const MemberState state : {MemberState::Alive, MemberState::Suspected, MemberState::Dead,
                                       MemberState::Leaving, MemberState::Terminated}) {
-        beliefs.push_back({NodeId(1), Incarnation(incarnation), state, refutation});
+        updates.push_back({NodeId(1), Incarnation(incarnation), state, refutation});
       }
     }
   }
-  for (const MemberUpdate& left : beliefs) {
+  for (const MemberUpdate& left : updates) {
     CHECK_FALSE(supersedes(left, left));
-    for (const MemberUpdate& right : beliefs) {
+    for (const MemberUpdate& right : updates) {
       CHECK_FALSE(supersedes(left, right) && supersedes(right, left));
-      for (const MemberUpdate& third : beliefs) {
+      for (const MemberUpdate& third : updates) {
         if (supersedes(left, right) && supersedes(right, third)) {
           CHECK(supersedes(left, third));
         }
--- a/tests/membership/membership_network.h
+++ b/tests/membership/membership_network.h
@@ -1,4 +1,4 @@
-/// \file A small in-process network of membership services under virtual time.
+/// \file In-process network of membership services in virtual time.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 namespace gorsetrail::membership {
 
-/// Delivers messages after a fixed delay; nodes may be stopped, restarted or partitioned.
+/// Delivers messages after a fixed delay; nodes can be stopped, restarted or partitioned.
 class MembershipNetwork {
  public:
   explicit MembershipNetwork(std::size_t nodeCount, std::uint64_t seed = 1) : seed_(seed) {
@@ -46,12 +46,12 @@
   std::size_t size() const { return nodes_.size(); }
   Instant now() const { return now_; }
 
-  /// Says whether a message between two nodes is lost.
+  /// \return whether a message between two nodes is lost.
   std::function<bool(std::uint32_t, std::uint32_t)> isLost = [](std::uint32_t, std::uint32_t) {
     return false;
   };
 
-  /// Sees every message that is sent, when set.
+  /// Called for each message sent, if set.
   std::function<void(std::uint32_t, const MembershipMessage&)> onSent;
 
   void run(Duration span) {
@@ -68,8 +68,8 @@
     }
   }
 
-  /// Runs until `done` or until `limit` is over.
-  /// \return the time it took; nothing when it never became true.
+  /// Runs until `done` returns true, at most for `limit`.
+  /// \return the elapsed time; nothing on timeout.
   std::optional<Duration> runUntil(const std::function<bool()>& done, Duration limit) {
     const Instant begin = now_;
     while (now_ - begin < limit) {
@@ -81,7 +81,7 @@
     return done() ? std::optional<Duration>(now_ - begin) : std::nullopt;
   }
 
-  /// \return whether every running node but `subject` believes this of it.
+  /// \return whether every running node except `subject` sees it in this state.
   bool allSee(std::uint32_t subject, MemberState state) {
     for (std::uint32_t number = 1; number <= nodes_.size(); ++number) {
       const bool counts = number != subject && at(number).running;
--- a/tests/quota/quota_fleet.h
+++ b/tests/quota/quota_fleet.h
@@ -1,4 +1,4 @@
-/// \file A fleet of nodes with quotas over a network of the test's, in virtual time.
+/// \file Simulated fleet of quota services with a lossy network, in virtual time.
 #pragma once
 
 #include <algorithm>
@@ -28,8 +28,9 @@
   return {name, {}, {}, {rate, burst}};
 }
 
-/// The network and the nodes. Every node sees as coordinators those nodes that it can reach, in an
-/// order of the partition's own: what a failure detector would tell it a moment later.
+/// Runs one `QuotaService` per node. Each node's candidate coordinators are the nodes that it can
+/// reach, in an order that depends on the partition, as an ideal failure detector would report
+/// them.
 class SimulatedFleet {
  public:
   SimulatedFleet(std::size_t nodes, std::shared_ptr<const tenant::TenantDirectory> tenants,
@@ -41,9 +42,9 @@
     }
   }
 
-  /// Asks for a request's token at a node that runs.
+  /// Submits a request at a node; ignored unless the node is running.
   void request(std::size_t node, const tenant::Tenant& tenant, ProgramStage stage) {
-    if (!nodes_[node]->service || nodes_[node]->isFrozen) {
+    if (!nodes_[node]->service || nodes_[node]->isSuspended) {
       return;
     }
     ++asked[tenant.name];
@@ -59,12 +60,12 @@
           }
         });
   }
-  /// A granted request was not sent after all.
+  /// Returns the token of a granted request that was not sent.
   void giveBack(std::size_t node, const tenant::Tenant& tenant) {
     nodes_[node]->service->giveBack(tenant.name);
   }
-  void kill(std::size_t node) { nodes_[node]->service.reset(); }
-  /// A planned stop: the node serves on and coordinates nothing.
+  void crash(std::size_t node) { nodes_[node]->service.reset(); }
+  /// Starts a planned shutdown: the node still serves requests but no longer coordinates.
   void stop(std::size_t node) {
     nodes_[node]->service->endCoordination();
     nodes_[node]->isLeaving = true;
@@ -78,38 +79,38 @@
     started.isLeaving = false;
     tick(node, started.incarnation);
   }
-  /// A frozen node handles nothing; what arrives meanwhile waits.
-  void freeze(std::size_t node) { nodes_[node]->isFrozen = true; }
-  void thaw(std::size_t node) {
-    Node& woken = *nodes_[node];
-    woken.isFrozen = false;
-    std::deque<std::function<void()>> held = std::move(woken.held);
-    woken.held.clear();
-    for (const auto& work : held) {
+  /// Suspends a node; messages that arrive meanwhile are queued until `resume`.
+  void suspend(std::size_t node) { nodes_[node]->isSuspended = true; }
+  void resume(std::size_t node) {
+    Node& resumed = *nodes_[node];
+    resumed.isSuspended = false;
+    std::deque<std::function<void()>> queued = std::move(resumed.queued);
+    resumed.queued.clear();
+    for (const auto& work : queued) {
       work();
     }
   }
-  /// Cuts the nodes of group 1 from those of group 0.
-  void setGroup(std::size_t node, int group) { nodes_[node]->group = group; }
-  /// Puts other tenants in force at one node.
+  /// Nodes in different network groups cannot reach each other; the default group is 0.
+  void setNetworkGroup(std::size_t node, int group) { nodes_[node]->group = group; }
+  /// Replaces the tenant configuration of one node.
   void setTenants(std::size_t node, std::shared_ptr<const tenant::TenantDirectory> tenants) {
     nodes_[node]->ownTenants = std::move(tenants);
   }
-  /// Whether nodes learn of cuts, deaths and freezes.
+  /// Whether nodes detect partitions, crashes and suspensions.
   bool detectsFailures = true;
-  /// Every other node takes the second choice for the first.
+  /// Nodes with odd indices swap the first and second candidate coordinator.
   bool disagreesOnCoordinators = false;
-  double lossShare = 0.01;
-  /// No coordinator learns what the one before it granted.
-  bool losesHandOvers = false;
-  /// Told of each message that leaves a node; may be unset.
-  std::function<void(const QuotaMessage&)> onCarried;
+  double lossRate = 0.01;
+  /// Drops all hand-over messages.
+  bool dropsHandOvers = false;
+  /// Called for each message sent, if set.
+  std::function<void(const QuotaMessage&)> onSent;
 
   [[nodiscard]] std::size_t size() const { return nodes_.size(); }
   [[nodiscard]] const QuotaService& service(std::size_t node) const {
     return *nodes_[node]->service;
   }
-  /// \return the most grants of a tenant in any span of that length.
+  /// \return the maximum number of grants of a tenant in any window of this length.
   [[nodiscard]] std::size_t mostGrantedIn(Duration window, const std::string& tenant) const {
     const auto found = grants.find(tenant);
     if (found == grants.end()) {
@@ -135,7 +136,7 @@
   std::map<std::string, std::size_t> begunGranted;
   std::map<std::string, std::size_t> beginningGranted;
   Duration lastRetryAfter{};
-  std::optional<QuotaTrace> lastTrace;  ///< Of the last request that was not granted.
+  std::optional<QuotaTrace> lastTrace;  ///< Trace of the last request that was not granted.
   std::size_t messages = 0;
   std::size_t coordinatorChanges = 0;
 
@@ -148,7 +149,7 @@
       std::vector<std::string> candidates;
       for (std::size_t step = 0; step < fleet.size() && candidates.size() < 2; ++step) {
         const std::size_t other = (partition * 7 + step) % fleet.size();
-        if (fleet.seesAlive(*this, *fleet.nodes_[other])) {
+        if (fleet.isReachable(*this, *fleet.nodes_[other])) {
           candidates.push_back(fleet.nodes_[other]->address);
         }
       }
@@ -171,7 +172,7 @@
       return ownTenants ? ownTenants : fleet.tenants_;
     }
     void send(const std::string& to, const QuotaMessage& message) override {
-      fleet.carry(*this, std::stoul(to), message);
+      fleet.transmit(*this, std::stoul(to), message);
     }
 
     void onCoordinatorChanged(std::uint32_t /*partition*/,
@@ -179,34 +180,35 @@
       ++fleet.coordinatorChanges;
     }
 
-    std::shared_ptr<const tenant::TenantDirectory> ownTenants;  ///< Null: the fleet's.
+    /// Tenants of this node; null to use those of the fleet.
+    std::shared_ptr<const tenant::TenantDirectory> ownTenants;
     SimulatedFleet& fleet;
     std::size_t index;
     std::string address;
     std::unique_ptr<QuotaService> service;
     std::uint64_t incarnation = 0;
-    bool isFrozen = false;
+    bool isSuspended = false;
     bool isLeaving = false;
     int group = 0;
-    std::deque<std::function<void()>> held;
+    std::deque<std::function<void()>> queued;
   };
 
-  bool seesAlive(const Node& viewer, const Node& other) const {
+  bool isReachable(const Node& viewer, const Node& other) const {
     if (!detectsFailures || &viewer == &other) {
       return true;
     }
-    return other.service && !other.isFrozen && !other.isLeaving && other.group == viewer.group;
+    return other.service && !other.isSuspended && !other.isLeaving && other.group == viewer.group;
   }
-  void carry(const Node& from, std::size_t to, const QuotaMessage& message) {
+  void transmit(const Node& from, std::size_t to, const QuotaMessage& message) {
     ++messages;
-    if (onCarried) {
-      onCarried(message);
+    if (onSent) {
+      onSent(message);
     }
-    const bool isLost = losesHandOvers && std::holds_alternative<HandOver>(message);
-    if (random_.fraction() < lossShare || isLost) {
+    const bool isLost = dropsHandOvers && std::holds_alternative<HandOver>(message);
+    if (random_.fraction() < lossRate || isLost) {
       return;
     }
-    // Through the codec, as on the wire.
+    // Encodes and decodes each message to cover the codec.
     const std::string bytes = encodeQuotaMessage(message);
     const Duration delay =
         milliseconds(1) + Duration(static_cast<Duration::rep>(random_.below(4000)));
@@ -218,8 +220,8 @@
     });
   }
   void deliver(Node& target, const std::string& sender, const std::string& bytes) {
-    if (target.isFrozen) {
-      target.held.push_back([this, &target, sender, bytes] { deliver(target, sender, bytes); });
+    if (target.isSuspended) {
+      target.queued.push_back([this, &target, sender, bytes] { deliver(target, sender, bytes); });
       return;
     }
     if (target.service) {
@@ -232,7 +234,7 @@
     if (!ticked.service || ticked.incarnation != incarnation) {
       return;
     }
-    if (!ticked.isFrozen) {
+    if (!ticked.isSuspended) {
       ticked.service->onTick();
     }
     const Duration period = milliseconds(ticked.service->hasWaiting() ? 10 : 50);
--- a/tests/quota/quota_pool_test.cpp
+++ b/tests/quota/quota_pool_test.cpp
@@ -1,4 +1,4 @@
-// What a coordinator grants, and the parts it is made of.
+// Guards the token buckets of a coordinator and their parts: leases, window counter, codec.
 #include "quota/quota_pool.h"
 
 #include "quota/sliding_count.h"
@@ -14,7 +14,7 @@
 const Instant kStart(seconds(100));
 constexpr std::uint64_t kIncarnation = 7;
 
-TokenRequest asking(std::uint32_t begun, std::uint32_t beginning = 0) {
+TokenRequest requestOf(std::uint32_t begun, std::uint32_t beginning = 0) {
   TokenRequest request;
   request.requestId = 1;
   request.tenant = "t";
@@ -30,64 +30,64 @@
   QuotaPool pool{knobs, kIncarnation};
   tenant::Quota quota{20, 10};
 
-  /// A pool that has held this share for a while: its buckets are full.
-  void borrow(double share, Duration span = seconds(10)) {
+  /// Leases this share from `kStart` on; after the default span the buckets are full.
+  void leaseShare(double share, Duration span = seconds(10)) {
     pool.addLease("node", share, kStart + span + seconds(100), kStart);
   }
-  static Instant later(Duration span) { return kStart + span; }
-  std::uint32_t requestAll(Instant now) { return pool.grant(asking(1000), quota, now).granted; }
+  static Instant afterStart(Duration span) { return kStart + span; }
+  std::uint32_t requestAll(Instant now) { return pool.grant(requestOf(1000), quota, now).granted; }
 };
 
-TEST(QuotaPool, decidesNothingWithoutBorrowedShares) {
-  const TokenReply reply = pool.grant(asking(1), quota, kStart);
+TEST(QuotaPool, isUndecidedWithoutLeasedShares) {
+  const TokenReply reply = pool.grant(requestOf(1), quota, kStart);
   CHECK_FALSE(reply.decided);
   LONGS_EQUAL(0, reply.granted);
 }
 
-TEST(QuotaPool, refusesNobodyWithTheSmallerPartOfTheFleet) {
-  borrow(0.4);
-  CHECK_TRUE(pool.grant(asking(1), quota, later(seconds(10))).decided);
-  const TokenReply reply = pool.grant(asking(1000), quota, later(seconds(10)));
+TEST(QuotaPool, isUndecidedInsteadOfRejectingBelowQuorum) {
+  leaseShare(0.4);
+  CHECK_TRUE(pool.grant(requestOf(1), quota, afterStart(seconds(10))).decided);
+  const TokenReply reply = pool.grant(requestOf(1000), quota, afterStart(seconds(10)));
   CHECK_FALSE(reply.decided);
   LONGS_EQUAL(0, reply.granted);
 }
 
-TEST(QuotaPool, grantsNoMoreThanTheToleratedCountInAnyFiveSeconds) {
-  borrow(1.0);
+TEST(QuotaPool, staysWithinTheLimitInAnyFiveSeconds) {
+  leaseShare(1.0);
   std::uint32_t granted = 0;
   for (int step = 0; step < 50; ++step) {
-    granted += requestAll(later(seconds(10) + milliseconds(100) * step));
+    granted += requestAll(afterStart(seconds(10) + milliseconds(100) * step));
   }
   CHECK(granted <= (20 * 5 + 10) * 1.1 + 20 - 0.4 * 20);
   CHECK(granted >= 20 * 5 + 10);
 }
 
-TEST(QuotaPool, grantsByTheShareThatIsBorrowed) {
-  borrow(0.6);
+TEST(QuotaPool, grantsInProportionToTheLeasedShare) {
+  leaseShare(0.6);
   std::uint32_t granted = 0;
   for (int step = 0; step < 100; ++step) {
-    granted += requestAll(later(seconds(10) + milliseconds(100) * step));
+    granted += requestAll(afterStart(seconds(10) + milliseconds(100) * step));
   }
   CHECK(granted <= 0.6 * (20 * 10 + 10 + 40));
 }
 
-TEST(QuotaPool, aTokenBeforeItsTimeIsToBeUsedLater) {
-  borrow(1.0);
-  const Instant now = later(seconds(10));
+TEST(QuotaPool, grantsUnaccruedTokensWithADelay) {
+  leaseShare(1.0);
+  const Instant now = afterStart(seconds(10));
   Duration wait{};
   for (int count = 0; count < 45; ++count) {
-    const TokenReply reply = pool.grant(asking(1), quota, now);
+    const TokenReply reply = pool.grant(requestOf(1), quota, now);
     wait = reply.granted > 0 ? reply.usableAfter : wait;
   }
   CHECK(wait > Duration::zero());
   CHECK(wait <= knobs.maxTokenDelay);
 }
 
-TEST(QuotaPool, tokensThatComeBackAreGrantedAgainOnlyByTheirGrantor) {
-  borrow(1.0);
-  const Instant now = later(seconds(10));
+TEST(QuotaPool, returnedTokensAreAcceptedOnlyByTheirGrantor) {
+  leaseShare(1.0);
+  const Instant now = afterStart(seconds(10));
   requestAll(now);
-  TokenRequest returning = asking(1);
+  TokenRequest returning = requestOf(1);
   returning.returned = 5;
   returning.grantor = kIncarnation + 1;
   LONGS_EQUAL(0, pool.grant(returning, quota, now).granted);
@@ -95,80 +95,80 @@
   LONGS_EQUAL(1, pool.grant(returning, quota, now).granted);
 }
 
-TEST(QuotaPool, refusalsSayWhenToComeBack) {
-  borrow(1.0);
-  const Instant now = later(seconds(10));
+TEST(QuotaPool, rejectionsSuggestARetryDelay) {
+  leaseShare(1.0);
+  const Instant now = afterStart(seconds(10));
   requestAll(now);
-  const TokenReply reply = pool.grant(asking(10), quota, now);
+  const TokenReply reply = pool.grant(requestOf(10), quota, now);
   LONGS_EQUAL(0, reply.granted);
   CHECK(reply.retryAfter >= knobs.minRetryAfter);
   CHECK(reply.retryAfter <= knobs.maxRetryAfter);
 }
 
 TEST(QuotaPool, aNewCoordinatorStartsWithFewTokens) {
-  borrow(1.0);
+  leaseShare(1.0);
   CHECK(requestAll(kStart) <= knobs.initialTokens + 20 * 0.25);
 }
 
-TEST(QuotaPool, theNextCoordinatorGoesOnWhereTheOneBeforeStopped) {
-  borrow(1.0);
-  const Instant now = later(seconds(10));
+TEST(QuotaPool, successorContinuesWithTheHandedOverAccounts) {
+  leaseShare(1.0);
+  const Instant now = afterStart(seconds(10));
   const std::uint32_t burst = requestAll(now);
   QuotaPool next(knobs, kIncarnation + 1);
   for (const HandOver& message : pool.exportAccounts(2, now)) {
     LONGS_EQUAL(2, message.partition);
     next.importAccounts(message, now);
-    next.importAccounts(message, now);  // The copy counts nothing.
+    next.importAccounts(message, now);  // A duplicate is ignored.
   }
   next.addLease("node", 1.0, now + seconds(100), now);
-  LONGS_EQUAL(0, next.grant(asking(1000), quota, now).granted);
+  LONGS_EQUAL(0, next.grant(requestOf(1000), quota, now).granted);
   std::uint32_t granted = burst;
   for (int step = 1; step <= 50; ++step) {
-    granted += next.grant(asking(1000), quota, now + milliseconds(100) * step).granted;
+    granted += next.grant(requestOf(1000), quota, now + milliseconds(100) * step).granted;
   }
   CHECK(granted <= (20 * 5 + 10) * 1.1 + 20 - 0.4 * 20);
-  CHECK(granted >= burst + 20 * 4);  // What it does grant is its rate.
+  CHECK(granted >= burst + 20 * 4);  // The successor grants tokens at the tenant's rate.
 }
 
-TEST(QuotaPool, aBucketThatWasNotUsedIsHandedOverFull) {
-  borrow(1.0);
-  const Instant now = later(seconds(10));
-  pool.grant(asking(1), quota, now);
+TEST(QuotaPool, handsOverAnUnusedBucketInFull) {
+  leaseShare(1.0);
+  const Instant now = afterStart(seconds(10));
+  pool.grant(requestOf(1), quota, now);
   QuotaPool next(knobs, kIncarnation + 1);
   for (const HandOver& message : pool.exportAccounts(0, now)) {
     next.importAccounts(message, now);
   }
-  // The first lends are there; a bucket of their size would lose the rest.
+  // With the first lease only, capacity is smaller than the handed-over level.
   next.addLease("first", 0.3, now + seconds(100), now);
-  CHECK_FALSE(next.grant(asking(1), quota, now + milliseconds(5)).decided);
+  CHECK_FALSE(next.grant(requestOf(1), quota, now + milliseconds(5)).decided);
   next.addLease("others", 0.7, now + seconds(100), now + milliseconds(10));
-  CHECK(next.grant(asking(1000), quota, now + milliseconds(10)).granted > 30);
+  CHECK(next.grant(requestOf(1000), quota, now + milliseconds(10)).granted > 30);
 }
 
-TEST(QuotaPool, aHandOverThatLendsFollowTooLateIsNotBelieved) {
-  borrow(1.0);
-  const Instant now = later(seconds(10));
-  pool.grant(asking(1), quota, now);
+TEST(QuotaPool, discardsAHandOverIfLeasesArriveTooLate) {
+  leaseShare(1.0);
+  const Instant now = afterStart(seconds(10));
+  pool.grant(requestOf(1), quota, now);
   QuotaPool next(knobs, kIncarnation + 1);
   for (const HandOver& message : pool.exportAccounts(0, now)) {
     next.importAccounts(message, now);
   }
   next.addLease("node", 1.0, now + seconds(100), now + seconds(2));
-  CHECK(next.grant(asking(1000), quota, now + seconds(2)).granted <= knobs.initialTokens + 5);
+  CHECK(next.grant(requestOf(1000), quota, now + seconds(2)).granted <= knobs.initialTokens + 5);
 }
 
-TEST(QuotaPool, aPoolThatLostItsSharesDoesNotBelieveItsOwnLevels) {
-  pool.addLease("node", 1.0, later(seconds(10)), kStart);
-  pool.grant(asking(1), quota, later(seconds(9)));  // Its bucket is full.
-  const Instant regained = later(seconds(12));
+TEST(QuotaPool, resetsLevelsAfterLosingItsShares) {
+  pool.addLease("node", 1.0, afterStart(seconds(10)), kStart);
+  pool.grant(requestOf(1), quota, afterStart(seconds(9)));  // The bucket is full at this time.
+  const Instant regained = afterStart(seconds(12));
   pool.addLease("node", 1.0, regained + seconds(10), regained);
-  // Another coordinator may have granted a whole bucket in between.
-  CHECK(pool.grant(asking(1000), quota, regained).granted <= knobs.initialTokens + 20 * 0.25);
+  // Another coordinator may have granted a full bucket in the meantime.
+  CHECK(pool.grant(requestOf(1000), quota, regained).granted <= knobs.initialTokens + 20 * 0.25);
 }
 
 TEST_GROUP(BorrowedShares) { BorrowedShares shares; };
 
-TEST(BorrowedShares, sumsLendsUntilTheyEnd) {
+TEST(BorrowedShares, sumsLeasesUntilTheyExpire) {
   shares.addLease("a", 0.25, kStart + seconds(2), kStart);
   shares.addLease("b", 0.25, kStart + seconds(1), kStart);
   DOUBLES_EQUAL(0.5, shares.share(kStart), 1e-9);
@@ -177,12 +177,12 @@
   DOUBLES_EQUAL(0.75, shares.shareSeconds(kStart + seconds(9)), 1e-9);
 }
 
-TEST(BorrowedShares, aLendThatEndedOnTheWayCountsNothing) {
+TEST(BorrowedShares, ignoresALeaseThatExpiredInTransit) {
   shares.addLease("a", 1.0, kStart, kStart + seconds(1));
   DOUBLES_EQUAL(0.0, shares.share(kStart + seconds(1)), 1e-9);
 }
 
-TEST(BorrowedShares, aRenewedLendCountsOnce) {
+TEST(BorrowedShares, countsARenewedLeaseOnce) {
   shares.addLease("a", 0.5, kStart + seconds(1), kStart);
   shares.addLease("a", 0.5, kStart + seconds(2), kStart + milliseconds(500));
   DOUBLES_EQUAL(0.5, shares.share(kStart + milliseconds(1500)), 1e-9);
@@ -191,7 +191,7 @@
 
 TEST_GROUP(SlidingCount) { SlidingCount count; };
 
-TEST(SlidingCount, forgetsWhatLeftTheWindowAndNothingElse) {
+TEST(SlidingCount, dropsOnlyCountsOutsideTheWindow) {
   count.add(3, kStart);
   count.add(4, kStart + milliseconds(2500));
   LONGS_EQUAL(7, count.sum(kStart + milliseconds(5000)));
@@ -200,7 +200,7 @@
   LONGS_EQUAL(0, count.sum(kStart + seconds(1000)));
 }
 
-TEST(SlidingCount, anotherCountGoesOnHereAndIsNeverForgottenTooSoon) {
+TEST(SlidingCount, mergedCountsDoNotExpireEarly) {
   SlidingCount other;
   const Instant start(seconds(100));
   other.add(5, start);
@@ -214,7 +214,7 @@
 
 TEST_GROUP(StaticShares){};
 
-TEST(StaticShares, letsItsPartOfTheLimitThrough) {
+TEST(StaticShares, grantsItsFractionOfTheLimit) {
   Instant now = kStart;
   StaticShares shares([] { return 0.1; }, [&now] { return now; });
   const tenant::Tenant tenant{"t", {}, {}, {100, 50}};
@@ -231,7 +231,7 @@
 
 TEST_GROUP(QuotaMessage){};
 
-TEST(QuotaMessage, everyMessageComesBackAsItWas) {
+TEST(QuotaMessage, roundTripPreservesFields) {
   TokenRequest request{9, "tenant", 1, 2, 4, 5};
   const auto read = decodeQuotaMessage(encodeQuotaMessage(request));
   const auto& same = std::get<TokenRequest>(valueOf(read));
@@ -260,7 +260,7 @@
   LONGS_EQUAL(0, sameHandOver.accounts[1].granted.size());
 }
 
-TEST(QuotaMessage, refusesWhatIsNoMessageAndNoShare) {
+TEST(QuotaMessage, rejectsMalformedMessagesAndInvalidShares) {
   CHECK_FALSE(succeeded(decodeQuotaMessage("")));
   CHECK_FALSE(succeeded(decodeQuotaMessage("no message at all, of some length")));
   CHECK_FALSE(succeeded(decodeQuotaMessage(encodeQuotaMessage(LeaseGrant{0, 1, 1.5}))));
--- a/tests/quota/quota_service_test.cpp
+++ b/tests/quota/quota_service_test.cpp
@@ -1,4 +1,4 @@
-// Limits over a whole fleet in virtual time: never more than allowed, and hardly a wrong refusal.
+// Guards against grants above a limit and against rejections within it, fleet-wide in virtual time.
 #include "quota_fleet.h"
 
 #include <CppUTest/TestHarness.h>
@@ -12,7 +12,7 @@
 constexpr std::size_t kNodes = 120;
 const Duration kWindow = seconds(5);
 
-/// What the users' rule allows in any window.
+/// \return the maximum number of grants in any window of 5 s.
 std::size_t allowedIn5Seconds(const tenant::Tenant& tenant) {
   return static_cast<std::size_t>((tenant.quota.requestsPerSecond * 5 + tenant.quota.burst) * 1.1 +
                                   20);
@@ -26,13 +26,13 @@
   tenant::Tenant small = limited("small", 5, 5);
   std::vector<tenant::Tenant> all{large, middle, small};
 
-  /// Requests of every tenant at random nodes, `times` its rate, for so long.
-  static void load(SimulatedFleet & fleet, const std::vector<tenant::Tenant>& tenants, double times,
-                   Duration span) {
+  /// Sends requests of every tenant to random nodes at `loadFactor` times its rate.
+  static void load(SimulatedFleet & fleet, const std::vector<tenant::Tenant>& tenants,
+                   double loadFactor, Duration span) {
     const Duration step = milliseconds(5);
     for (Duration passed{}; passed < span; passed += step) {
       for (const tenant::Tenant& tenant : tenants) {
-        const double expected = tenant.quota.requestsPerSecond * times * 0.005;
+        const double expected = tenant.quota.requestsPerSecond * loadFactor * 0.005;
         const double whole = expected + fleet.random().fraction();
         for (int count = static_cast<int>(whole); count > 0; --count) {
           const bool begins = fleet.random().below(4) == 0;
@@ -53,7 +53,7 @@
   static void settle(SimulatedFleet & fleet) { fleet.timers.advance(seconds(3)); }
 };
 
-TEST(QuotaService, refusesAtMostOneInAThousandWithinTheLimitOnACalmDay) {
+TEST(QuotaService, rejectsAtMostOneInAThousandWithinTheLimitWithoutFaults) {
   SimulatedFleet fleet(kNodes, directoryOf(all), 1);
   settle(fleet);
   load(fleet, all, 0.6, seconds(20));
@@ -67,7 +67,7 @@
   CHECK_TEXT(refused * 1000 <= asked, std::to_string(refused).c_str());
 }
 
-TEST(QuotaService, letsATenantUseItsWholeLimit) {
+TEST(QuotaService, servesATenantUpToItsLimit) {
   SimulatedFleet fleet(kNodes, directoryOf(all), 2);
   settle(fleet);
   load(fleet, all, 3.0, seconds(20));
@@ -78,16 +78,16 @@
   }
 }
 
-TEST(QuotaService, programsThatHaveBegunGoFirst) {
+TEST(QuotaService, runningProgramsHavePriority) {
   SimulatedFleet fleet(kNodes, directoryOf({middle}), 3);
   settle(fleet);
   load(fleet, {middle}, 1.5, seconds(20));
-  // A quarter of the requests begin a program, so three times as many would be granted to begun
-  // ones without an order; begun ones alone ask for 1.1 times the limit.
+  // A quarter of the requests start a program, so without priorities the ratio would be 3; running
+  // programs alone request 1.1 times the limit.
   CHECK(fleet.begunGranted["middle"] > 6 * fleet.beginningGranted["middle"]);
 }
 
-TEST(QuotaService, tellsWhenToComeBack) {
+TEST(QuotaService, rejectionsSuggestARetryDelay) {
   SimulatedFleet fleet(kNodes, directoryOf(all), 4);
   settle(fleet);
   load(fleet, all, 4.0, seconds(5));
@@ -96,12 +96,12 @@
   CHECK(fleet.lastRetryAfter <= 2 * QuotaKnobs{}.maxRetryAfter);
 }
 
-TEST(QuotaService, aSplitFleetKeepsTheLimitAndServesInBothParts) {
+TEST(QuotaService, networkPartitionKeepsTheLimitAndServesBothSides) {
   SimulatedFleet fleet(kNodes, directoryOf(all), 5);
   settle(fleet);
   load(fleet, all, 2.0, seconds(4));
   for (std::size_t node = 0; node < kNodes / 2; ++node) {
-    fleet.setGroup(node, 1);
+    fleet.setNetworkGroup(node, 1);
   }
   fleet.timers.advance(seconds(2));
   const std::size_t before = fleet.grants["large"].size();
@@ -111,12 +111,12 @@
   CHECK(served >= large.quota.requestsPerSecond * 10 * 0.85);
 }
 
-TEST(QuotaService, aCoordinatorsDeathAndReturnKeepTheLimit) {
+TEST(QuotaService, coordinatorCrashAndRestartKeepTheLimit) {
   SimulatedFleet fleet(kNodes, directoryOf(all), 6);
   settle(fleet);
   for (int round = 0; round < 5; ++round) {
     for (std::size_t node = 0; node < 24; ++node) {
-      fleet.kill(node);  // All first choices of all partitions are among these.
+      fleet.crash(node);  // Includes the first candidates of all partitions.
     }
     load(fleet, all, 3.0, milliseconds(1700));
     for (std::size_t node = 0; node < 24; ++node) {
@@ -128,28 +128,28 @@
   CHECK(fleet.grants["middle"].size() > 40 * 17 / 4);
 }
 
-TEST(QuotaService, coordinatorsThatFreezeAndWakeKeepTheLimit) {
+TEST(QuotaService, suspendedCoordinatorsKeepTheLimit) {
   SimulatedFleet fleet(kNodes, directoryOf(all), 7);
   settle(fleet);
   for (int round = 0; round < 4; ++round) {
     for (std::size_t node = 0; node < 24; ++node) {
-      fleet.freeze(node);
+      fleet.suspend(node);
     }
     load(fleet, all, 3.0, milliseconds(2300));
     for (std::size_t node = 0; node < 24; ++node) {
-      fleet.thaw(node);
+      fleet.resume(node);
     }
     load(fleet, all, 3.0, milliseconds(600));
   }
   checkWithinLimits(fleet);
 }
 
-TEST(QuotaService, aLossOfAllPowerKeepsTheLimitAndTokensComeBackSoon) {
+TEST(QuotaService, fleetRestartKeepsTheLimitAndRecovers) {
   SimulatedFleet fleet(kNodes, directoryOf(all), 8);
   settle(fleet);
   load(fleet, all, 3.0, seconds(6));
   for (std::size_t node = 0; node < kNodes; ++node) {
-    fleet.kill(node);
+    fleet.crash(node);
   }
   for (std::size_t node = 0; node < kNodes; ++node) {
     fleet.start(node);
@@ -161,7 +161,7 @@
   CHECK(fleet.grants["large"].size() - before >= 300 * 2);
 }
 
-TEST(QuotaService, aLowerLimitBindsAsSoonAsTheCoordinatorKnowsIt) {
+TEST(QuotaService, loweredLimitAppliesOnceTheCoordinatorHasIt) {
   SimulatedFleet fleet(kNodes, directoryOf(all), 9);
   settle(fleet);
   load(fleet, all, 2.0, seconds(6));
@@ -175,11 +175,11 @@
   CHECK(fleet.mostGrantedIn(kWindow, "large") <= allowedIn5Seconds(lowered));
 }
 
-TEST(QuotaService, anIsolatedNodeSpendsItsOwnShareOnly) {
+TEST(QuotaService, isolatedNodeUsesOnlyItsOwnShare) {
   const tenant::Tenant huge = limited("huge", 1200, 1200);
   SimulatedFleet fleet(10, directoryOf({huge}), 10);
   settle(fleet);
-  fleet.setGroup(3, 1);
+  fleet.setNetworkGroup(3, 1);
   fleet.timers.advance(seconds(2));
   fleet.grants.clear();
   for (int step = 0; step < 2000; ++step) {
@@ -191,7 +191,7 @@
   CHECK(most <= allowedIn5Seconds(huge) / 10 + 20);
 }
 
-TEST(QuotaService, aNodeThatHasJustStartedSpendsNothingOfWhatItLentInItsEarlierLife) {
+TEST(QuotaService, restartedNodeWaitsForLeasesOfItsPreviousIncarnation) {
   const QuotaKnobs knobs;
   ShareLender lender(knobs, Instant(seconds(100)));
   CHECK_FALSE(lender.tryLease(0, "new", 1, Instant(seconds(100))));
@@ -199,7 +199,7 @@
   CHECK_TRUE(lender.tryLease(0, "new", 1, Instant(seconds(100)) + knobs.leaseDuration));
 }
 
-TEST(QuotaService, aNodeLendsToOneCoordinatorAtATime) {
+TEST(QuotaService, shareIsLeasedToOneCoordinatorAtATime) {
   const QuotaKnobs knobs;
   ShareLender lender(knobs, Instant{});
   const Instant now(seconds(10));
@@ -210,7 +210,7 @@
   CHECK_FALSE(lender.tryLease(99, "second", 1, now));
 }
 
-TEST(QuotaService, unlimitedTenantsCostNothing) {
+TEST(QuotaService, unlimitedTenantsCauseNoMessages) {
   SimulatedFleet fleet(3, directoryOf({limited("free", 0, 0)}), 11);
   fleet.timers.advance(seconds(2));
   for (int count = 0; count < 100; ++count) {
@@ -220,14 +220,14 @@
   LONGS_EQUAL(0, fleet.messages);
 }
 
-TEST(QuotaService, aRequestThatNobodyDecidesTellsWhomItWasAskedOf) {
+TEST(QuotaService, undecidedRequestReportsItsCoordinator) {
   SimulatedFleet fleet(kNodes, directoryOf(all), 12);
   settle(fleet);
   load(fleet, all, 1.0, seconds(2));
   fleet.detectsFailures = false;
-  // The last node is no coordinator.
+  // The last node is not a candidate coordinator.
   for (std::size_t node = 0; node + 1 < kNodes; ++node) {
-    fleet.kill(node);
+    fleet.crash(node);
   }
   fleet.timers.advance(seconds(3));
   for (int request = 0; request < 400; ++request) {
@@ -243,42 +243,42 @@
   CHECK(trace.waited >= QuotaKnobs{}.maxWait);
 }
 
-TEST(QuotaService, anyMixOfFaultsKeepsTheLimit) {
+TEST(QuotaService, randomFaultsKeepTheLimit) {
   for (std::uint64_t seed = 100; seed < 112; ++seed) {
     SimulatedFleet fleet(40, directoryOf(all), seed);
     fleet.detectsFailures = seed % 3 != 0;
-    fleet.lossShare = seed % 2 == 0 ? 0.1 : 0.01;
+    fleet.lossRate = seed % 2 == 0 ? 0.1 : 0.01;
     settle(fleet);
-    std::set<std::size_t> frozen;
-    std::set<std::size_t> dead;
+    std::set<std::size_t> suspended;
+    std::set<std::size_t> crashed;
     for (int step = 0; step < 40; ++step) {
       const std::size_t node = fleet.random().below(40);
       switch (fleet.random().below(6)) {
         case 0:
-          if (dead.insert(node).second) {
-            fleet.kill(node);
+          if (crashed.insert(node).second) {
+            fleet.crash(node);
           }
           break;
         case 1:
-          if (dead.erase(node) > 0) {
+          if (crashed.erase(node) > 0) {
             fleet.start(node);
           }
           break;
         case 2:
-          fleet.freeze(node);
-          frozen.insert(node);
+          fleet.suspend(node);
+          suspended.insert(node);
           break;
         case 3:
-          for (const std::size_t one : frozen) {
-            fleet.thaw(one);
+          for (const std::size_t one : suspended) {
+            fleet.resume(one);
           }
-          frozen.clear();
+          suspended.clear();
           break;
         case 4:
-          fleet.setGroup(node, 1);
+          fleet.setNetworkGroup(node, 1);
           break;
         default:
-          fleet.setGroup(node, 0);
+          fleet.setNetworkGroup(node, 0);
           break;
       }
       load(fleet, all, 2.5, milliseconds(400));
@@ -287,7 +287,7 @@
   }
 }
 
-TEST(QuotaService, aPlannedStopOfACoordinatorHandsItsTenantsOver) {
+TEST(QuotaService, plannedShutdownRejectsNoRequests) {
   SimulatedFleet fleet(kNodes, directoryOf(all), 12);
   settle(fleet);
   load(fleet, all, 0.6, seconds(2));
@@ -295,15 +295,15 @@
   for (std::size_t node = 0; node < 24; ++node) {
     fleet.stop(node);
     load(fleet, all, 0.6, milliseconds(200));
-    fleet.kill(node);
+    fleet.crash(node);
   }
   checkWithinLimits(fleet);
   CHECK(fleet.refused == refusedBefore);
 }
 
-// Nodes stop one after the other, so each coordinator in turn. A lost message can cost a caller a
-// wait that is longer than it is let wait, so over many fleets a few requests are refused.
-TEST(QuotaService, plannedStopsOfCoordinatorsHandTheirTenantsOver) {
+// Shuts nodes down one after the other. A lost message can delay a request beyond `maxWait`, so a
+// few rejections are allowed.
+TEST(QuotaService, plannedShutdownsRejectAtMostOneInAThousand) {
   constexpr std::uint64_t kFleets = 12;
   std::size_t asked = 0;
   std::size_t refused = 0;
@@ -315,7 +315,7 @@
     for (std::size_t node = 0; node < 24; ++node) {
       fleet.stop(node);
       load(fleet, all, 0.6, milliseconds(200));
-      fleet.kill(node);
+      fleet.crash(node);
     }
     checkWithinLimits(fleet);
     for (const tenant::Tenant& tenant : all) {
@@ -328,7 +328,7 @@
              (std::to_string(refused) + " of " + std::to_string(asked)).c_str());
 }
 
-TEST(QuotaService, anEndThatComesLateFreesNothingOfALaterLife) {
+TEST(QuotaService, lateReleaseDoesNotEndLeasesOfALaterIncarnation) {
   const QuotaKnobs knobs;
   ShareLender lender(knobs, Instant{});
   const Instant now(seconds(10));
@@ -341,20 +341,21 @@
   CHECK_TRUE(lender.tryLease(0, "second", 1, now));
 }
 
-// After a split each half has lent to its own coordinator, and its nodes go on renewing the lends.
-TEST(QuotaService, twoCoordinatorsThatNodesDisagreeOnComeToOne) {
+// Guards against two coordinators that each keep renewing half of the leases after a partition
+// heals.
+TEST(QuotaService, competingCoordinatorsConvergeToOne) {
   SimulatedFleet fleet(kNodes, directoryOf(all), 13);
   fleet.disagreesOnCoordinators = true;
   for (std::size_t node = 0; node < kNodes; node += 2) {
-    fleet.setGroup(node, 1);
+    fleet.setNetworkGroup(node, 1);
   }
   load(fleet, all, 0.8, seconds(4));
   for (std::size_t node = 0; node < kNodes; node += 2) {
-    fleet.setGroup(node, 0);
+    fleet.setNetworkGroup(node, 0);
   }
   load(fleet, all, 0.8, seconds(2));
   fleet.refused.clear();
-  // All requests come to the nodes that prefer one of the two: it needs the shares of all.
+  // Requests arrive only at nodes that prefer one of the two coordinators.
   for (int step = 0; step < 2000; ++step) {
     const std::size_t odd = fleet.random().below(kNodes / 2) * 2 + 1;
     fleet.request(odd, large, ProgramStage::Begun);
@@ -364,9 +365,8 @@
   CHECK(fleet.refused["large"] <= 5);
 }
 
-// Every node is restarted as planned, some at a time, while others stand still. Once all run again,
-// tenants within their limits are refused as little as on a calm day.
-TEST(QuotaService, afterARollingRestartAmidFreezesTenantsWithinTheirLimitsAreServed) {
+// Guards against rejections after a rolling restart during which other nodes were suspended.
+TEST(QuotaService, rollingRestartWithSuspendedNodesKeepsServing) {
   const auto sumOf = [this](std::map<std::string, std::size_t>& counts) {
     return counts[large.name] + counts[middle.name] + counts[small.name];
   };
@@ -386,14 +386,15 @@
       for (std::size_t index = begun; index < end; ++index) {
         const std::size_t node = order[index];
         fleet.stop(node);
-        fleet.timers.runAfter(milliseconds(3200), [&fleet, node] { fleet.kill(node); });
+        fleet.timers.runAfter(milliseconds(3200), [&fleet, node] { fleet.crash(node); });
         fleet.timers.runAfter(milliseconds(3500), [&fleet, node] { fleet.start(node); });
       }
-      const std::size_t frozen = fleet.random().below(kFleet);
+      const std::size_t suspended = fleet.random().below(kFleet);
       for (std::size_t step = 0; step < 14; ++step) {
-        fleet.freeze((frozen + step * 5) % kFleet);
-        fleet.timers.runAfter(milliseconds(3500),
-                              [&fleet, node = (frozen + step * 5) % kFleet] { fleet.thaw(node); });
+        fleet.suspend((suspended + step * 5) % kFleet);
+        fleet.timers.runAfter(milliseconds(3500), [&fleet, node = (suspended + step * 5) % kFleet] {
+          fleet.resume(node);
+        });
       }
       load(fleet, all, 0.4, milliseconds(1500));
     }
@@ -408,8 +409,8 @@
   CHECK_TEXT(refused * 1000 <= asked, std::to_string(refused).c_str());
 }
 
-// A tenant spends its whole burst, its coordinator stops, and the tenant goes on at its rate.
-TEST(QuotaService, aHandOverAmidABurstKeepsTheLimitOfALargeTenant) {
+// Guards against a second burst when the coordinator changes while a tenant is using its burst.
+TEST(QuotaService, handOverDuringABurstKeepsTheLimit) {
   for (std::uint64_t seed = 21; seed < 25; ++seed) {
     SimulatedFleet fleet(24, directoryOf(all), seed);
     settle(fleet);
@@ -422,11 +423,11 @@
   }
 }
 
-// Once more, with every message of the hand-over lost.
-TEST(QuotaService, aHandOverThatIsLostKeepsTheLimit) {
+// As above, with every hand-over message lost.
+TEST(QuotaService, lostHandOverKeepsTheLimit) {
   for (std::uint64_t seed = 31; seed < 35; ++seed) {
     SimulatedFleet fleet(24, directoryOf(all), seed);
-    fleet.losesHandOvers = true;
+    fleet.dropsHandOvers = true;
     settle(fleet);
     fleet.timers.advance(seconds(4));
     for (std::size_t node = 0; node + 4 < fleet.size(); ++node) {
@@ -437,16 +438,16 @@
   }
 }
 
-TEST(QuotaService, aTokenThatIsGivenBackKeepsItsOwnTime) {
+TEST(QuotaService, returnedTokenKeepsItsExpiry) {
   SimulatedFleet fleet(4, directoryOf(all), 41);
-  fleet.lossShare = 0;
+  fleet.lossRate = 0;
   settle(fleet);
   fleet.request(0, middle, ProgramStage::Begun);
   fleet.timers.advance(milliseconds(300));
   fleet.request(0, middle, ProgramStage::Begun);
   fleet.timers.advance(milliseconds(20));
   LONGS_EQUAL(2, fleet.grants["middle"].size());
-  fleet.giveBack(0, middle);  // The first one's, for all that is known.
+  fleet.giveBack(0, middle);  // The service cannot tell which token this is.
   fleet.timers.advance(milliseconds(180));
   const std::uint64_t atOnce = fleet.service(0).counters().grantedAtOnce;
   fleet.request(0, middle, ProgramStage::Begun);
@@ -454,26 +455,26 @@
   fleet.timers.advance(milliseconds(20));
   LONGS_EQUAL(3, fleet.grants["middle"].size());
   fleet.giveBack(0, middle);
-  fleet.request(0, middle, ProgramStage::Begun);  // Young enough.
+  fleet.request(0, middle, ProgramStage::Begun);  // The returned token has not expired.
   LONGS_EQUAL(atOnce + 1, fleet.service(0).counters().grantedAtOnce);
 }
 
-TEST(QuotaService, livesOfANodeNumberTheirRequestsDifferently) {
+TEST(QuotaService, incarnationsUseDistinctRequestIds) {
   SimulatedFleet fleet(4, directoryOf(all), 42);
   settle(fleet);
   std::set<std::uint64_t> numbers;
-  fleet.onCarried = [&numbers](const QuotaMessage& message) {
+  fleet.onSent = [&numbers](const QuotaMessage& message) {
     if (const auto* const request = std::get_if<TokenRequest>(&message)) {
       CHECK_TRUE(numbers.insert(request->requestId).second);
     }
   };
   for (int incarnation = 0; incarnation < 5; ++incarnation) {
-    // The second choice of its partition: its requests go to another node.
+    // Node 3 is not the first candidate, so its requests are sent to another node.
     fleet.request(3, large, ProgramStage::Begun);
     fleet.request(3, middle, ProgramStage::Begun);
     fleet.request(3, small, ProgramStage::Begun);
     fleet.timers.advance(milliseconds(20));
-    fleet.kill(3);
+    fleet.crash(3);
     fleet.start(3);
   }
   CHECK(numbers.size() >= 5);
