--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -40,7 +40,7 @@
   return rankOf(left.state) > rankOf(right.state);
 }
 
-MemberTable::MemberTable(const std::vector<Member>& members) : byNode_(members.size()) {
+MemberStateTable::MemberStateTable(const std::vector<Member>& members) : byNode_(members.size()) {
   entries_.reserve(members.size());
   for (const Member& member : members) {
     Entry entry;
@@ -53,18 +53,18 @@
   });
 }
 
-void MemberTable::insertByNode(MemberIndex index) {
-  const auto place = std::lower_bound(
+void MemberStateTable::insertByNode(MemberIndex index) {
+  const auto position = std::lower_bound(
       byNode_.begin(), byNode_.end(), entries_[index].node,
       [this](MemberIndex other, NodeId wanted) { return entries_[other].node < wanted; });
-  byNode_.insert(place, index);
+  byNode_.insert(position, index);
 }
 
-void MemberTable::eraseByNode(MemberIndex index) {
+void MemberStateTable::eraseByNode(MemberIndex index) {
   byNode_.erase(std::remove(byNode_.begin(), byNode_.end(), index), byNode_.end());
 }
 
-MemberIndex MemberTable::add(NodeId node) {
+MemberIndex MemberStateTable::add(NodeId node) {
   const auto index = static_cast<MemberIndex>(entries_.size());
   Entry entry;
   entry.node = node;
@@ -73,14 +73,14 @@
   return index;
 }
 
-void MemberTable::replace(MemberIndex index, NodeId node) {
+void MemberStateTable::replace(MemberIndex index, NodeId node) {
   remove(index);
   entries_[index] = {};
   entries_[index].node = node;
   insertByNode(index);
 }
 
-void MemberTable::remove(MemberIndex index) {
+void MemberStateTable::remove(MemberIndex index) {
   eraseByNode(index);
   deadCount_ -= entries_[index].state == MemberState::Dead ? 1 : 0;
   // A `Terminated` member is not probed, and one with the unknown incarnation is not disseminated.
@@ -88,22 +88,22 @@
   entries_[index].state = MemberState::Terminated;
 }
 
-std::optional<MemberIndex> MemberTable::find(NodeId node) const {
-  const auto place = std::lower_bound(
+std::optional<MemberIndex> MemberStateTable::find(NodeId node) const {
+  const auto position = std::lower_bound(
       byNode_.begin(), byNode_.end(), node,
       [this](MemberIndex index, NodeId wanted) { return entries_[index].node < wanted; });
-  if (place == byNode_.end() || entries_[*place].node != node) {
+  if (position == byNode_.end() || entries_[*position].node != node) {
     return std::nullopt;
   }
-  return *place;
+  return *position;
 }
 
-MemberUpdate MemberTable::updateAt(MemberIndex index) const {
+MemberUpdate MemberStateTable::updateAt(MemberIndex index) const {
   const Entry& entry = entries_[index];
   return {entry.node, entry.incarnation, entry.state, entry.refutation};
 }
 
-MergeResult MemberTable::merge(MemberIndex index, const MemberUpdate& update) {
+MergeResult MemberStateTable::merge(MemberIndex index, const MemberUpdate& update) {
   const MemberUpdate current = updateAt(index);
   if (!supersedes(update, current)) {
     return MergeResult::Ignored;
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -29,11 +29,11 @@
 bool supersedes(const MemberUpdate& left, const MemberUpdate& right);
 
 /// Latest known state of each member; 40 bytes per member, binary search by node id.
-class MemberTable {
+class MemberStateTable {
  public:
   /// Every member starts as `Alive` with the unknown incarnation 0: configured nodes are presumed
   /// reachable until a probe fails.
-  explicit MemberTable(const std::vector<Member>& members);
+  explicit MemberStateTable(const std::vector<Member>& members);
 
   /// Appends a node that is not in the table.
   MemberIndex add(NodeId node);
--- a/src/membership/membership_codec.cpp
+++ b/src/membership/membership_codec.cpp
@@ -21,7 +21,7 @@
                                                      : fbs::MessageKind::IndirectProbeRequest;
 }
 
-std::vector<fbs::Belief> beliefsOf(const Piggyback& piggyback) {
+std::vector<fbs::Belief> encodeUpdates(const Piggyback& piggyback) {
   std::vector<fbs::Belief> beliefs;
   beliefs.reserve(piggyback.updates.size());
   for (const MemberUpdate& update : piggyback.updates) {
@@ -56,7 +56,7 @@
   const std::uint32_t target = indirect == nullptr ? 0 : indirect->target.value();
   std::visit(
       [&](const auto& content) {
-        const auto beliefs = builder.CreateVectorOfStructs(beliefsOf(content.piggyback));
+        const auto beliefs = builder.CreateVectorOfStructs(encodeUpdates(content.piggyback));
         fbs::FinishMessageBuffer(
             builder, fbs::CreateMessage(builder, kindOf(message), content.probe, target,
                                         content.piggyback.senderIncarnation.value(), beliefs));
--- a/src/membership/membership_service.h
+++ b/src/membership/membership_service.h
@@ -54,11 +54,16 @@
     std::variant<SendMembershipMessage, MemberChanged, BackendChanged, NewerBundleSeen>;
 
 struct MembershipKnobs {
+  /// One member is probed per period.
   Duration probePeriod = milliseconds(500);
+  /// Indirect probes are sent if the direct probe is not answered in this time.
   Duration probeTimeout = milliseconds(150);
+  /// A suspected member that does not refute in this time is declared dead.
   Duration suspicionTimeout = milliseconds(1000);
-  std::size_t indirectProbes = 2;
-  std::size_t updateTransmissions = 12;
+  /// Number of nodes asked to probe a member that did not reply to the direct probe.
+  std::size_t indirectProbeCount = 2;
+  /// Number of messages that carry each update.
+  std::size_t transmissionsPerUpdate = 12;
   /// A node that received no message for this long assumes that its own links failed: it suspects
   /// no member and declares none dead. At least `suspicionTimeout`, so that no suspicion that began
   /// in the meantime can expire.
@@ -68,6 +73,7 @@
   bool answersUnknownNodes = false;
 };
 
+/// Failure detector and membership view of one node; collects commands for the caller to execute.
 class MembershipService {
  public:
   virtual ~MembershipService() = default;
@@ -82,6 +88,7 @@
   virtual void onTick(Instant now) = 0;
   /// Disseminates that a back end is draining (`leaving`) or available again.
   virtual void announceBackend(std::uint32_t backendHash, bool leaving, Instant now) = 0;
+  /// Sets the configuration bundle version that this node announces; never lowers it.
   virtual void setBundleInForce(BundleVersion version) = 0;
   /// Announces a planned shutdown of this node to all members.
   virtual void beginLeave(Instant now) = 0;
@@ -90,6 +97,7 @@
   [[nodiscard]] virtual MemberState stateOf(NodeId node) const = 0;
   [[nodiscard]] virtual Incarnation incarnationOf(NodeId node) const = 0;
   [[nodiscard]] virtual const std::vector<Member>& members() const = 0;
+  /// \return the commands collected since the last call, in order.
   [[nodiscard]] virtual std::vector<MembershipCommand> takeCommands() = 0;
 };
 using MembershipServicePtr = std::unique_ptr<MembershipService>;
--- a/src/membership/swim_dissemination.cpp
+++ b/src/membership/swim_dissemination.cpp
@@ -28,16 +28,16 @@
     applyUpdate(sender, {current.node, piggyback.senderIncarnation, MemberState::Alive, 0}, now);
   }
   const std::size_t updates = std::min(piggyback.updates.size(), kMaximumUpdates);
-  for (std::size_t place = 0; place < updates; ++place) {
-    const MemberUpdate& update = piggyback.updates[place];
+  for (std::size_t position = 0; position < updates; ++position) {
+    const MemberUpdate& update = piggyback.updates[position];
     const std::optional<MemberIndex> index = table_.find(update.node);
     if (index) {
       applyUpdate(*index, update, now);
     }
   }
   const std::size_t notices = std::min(piggyback.notices.size(), kMaximumNotices);
-  for (std::size_t place = 0; place < notices; ++place) {
-    const std::optional<std::uint32_t> changed = notices_.merge(piggyback.notices[place]);
+  for (std::size_t position = 0; position < notices; ++position) {
+    const std::optional<std::uint32_t> changed = notices_.merge(piggyback.notices[position]);
     if (changed) {
       onNoticeChanged(*changed);
     }
@@ -82,8 +82,8 @@
 void SwimMembership::addRefreshEntries(Piggyback& piggyback) {
   const std::size_t updates = std::min(kMaximumUpdates, piggyback.updates.size() + kRefreshUpdates);
   for (std::size_t step = 0; step < table_.size() && piggyback.updates.size() < updates; ++step) {
-    const MemberIndex index = refreshMember_;
-    refreshMember_ = (refreshMember_ + 1) % static_cast<MemberIndex>(table_.size());
+    const MemberIndex index = nextRefreshMember_;
+    nextRefreshMember_ = (nextRefreshMember_ + 1) % static_cast<MemberIndex>(table_.size());
     if (table_.updateAt(index).incarnation != Incarnation(0)) {
       piggyback.updates.push_back(table_.updateAt(index));
     }
@@ -91,8 +91,8 @@
   const std::size_t notices = std::min(kMaximumNotices, piggyback.notices.size() + kRefreshNotices);
   const std::size_t available = std::min(notices, piggyback.notices.size() + notices_.size());
   while (piggyback.notices.size() < available) {
-    piggyback.notices.push_back(notices_.at(refreshNotice_));
-    refreshNotice_ = (refreshNotice_ + 1) % static_cast<std::uint32_t>(notices_.size());
+    piggyback.notices.push_back(notices_.at(nextRefreshNotice_));
+    nextRefreshNotice_ = (nextRefreshNotice_ + 1) % static_cast<std::uint32_t>(notices_.size());
   }
 }
 
@@ -138,8 +138,8 @@
 
 /// Other nodes know a later incarnation of this node, because incarnations come from the system
 /// clock and it was set back before a restart. They would ignore this incarnation permanently.
-void SwimMembership::adoptIncarnationAbove(Incarnation believed) {
-  incarnation_ = believed.next();
+void SwimMembership::adoptIncarnationAbove(Incarnation knownIncarnation) {
+  incarnation_ = knownIncarnation.next();
   ownRefutation_ = 0;
   refute(0);
 }
--- a/src/membership/swim_membership.cpp
+++ b/src/membership/swim_membership.cpp
@@ -42,8 +42,8 @@
       random_(seed ^ (std::uint64_t{self.value()} << 20)),
       table_(members_),
       selfIndex_(table_.find(self)),
-      memberQueue_(knobs.updateTransmissions),
-      noticeQueue_(knobs.updateTransmissions) {
+      memberQueue_(knobs.transmissionsPerUpdate),
+      noticeQueue_(knobs.transmissionsPerUpdate) {
   if (selfIndex_) {
     table_.merge(*selfIndex_, {self_, incarnation_, ownState_, ownRefutation_});
     memberQueue_.add(*selfIndex_, UpdatePriority::Change);
@@ -82,8 +82,8 @@
   if (!index || index == selfIndex_) {
     return;
   }
-  if (outstanding_ && outstanding_->target == *index) {
-    outstanding_.reset();
+  if (outstandingProbe_ && outstandingProbe_->target == *index) {
+    outstandingProbe_.reset();
   }
   std::erase_if(suspicions_,
                 [&](const Suspicion& suspicion) { return suspicion.member == *index; });
@@ -116,8 +116,8 @@
   if (!sender || !readPiggyback(*sender, reply.piggyback, now)) {
     return;  // A reply from an earlier incarnation does not show that the present one is alive.
   }
-  if (outstanding_ && outstanding_->probe == reply.probe) {
-    outstanding_.reset();
+  if (outstandingProbe_ && outstandingProbe_->probe == reply.probe) {
+    outstandingProbe_.reset();
     return;
   }
   const auto relay = std::find_if(
@@ -139,7 +139,7 @@
   if (!target || relayedProbes_.size() >= kMaximumRelayedProbes) {
     return;
   }
-  const std::uint32_t probe = nextProbe_++;
+  const std::uint32_t probe = nextProbeId_++;
   relayedProbes_.push_back({probe, request.probe, from, now + knobs_.probePeriod});
   sendProbe(*target, probe);
 }
@@ -179,8 +179,8 @@
     expireSuspicions(now);
   }
   probeSuspects(now);
-  if (outstanding_ && !outstanding_->indirectSent &&
-      now - outstanding_->sentAt >= knobs_.probeTimeout) {
+  if (outstandingProbe_ && !outstandingProbe_->indirectSent &&
+      now - outstandingProbe_->sentAt >= knobs_.probeTimeout) {
     sendIndirectProbes();
   }
   if (now >= nextPeriodAt_) {
@@ -197,7 +197,7 @@
   if (gap < knobs_.probePeriod) {
     return;
   }
-  outstanding_.reset();
+  outstandingProbe_.reset();
   extendSuspicions(gap);
 }
 
@@ -208,11 +208,11 @@
 }
 
 void SwimMembership::expireProbe(Instant now) {
-  if (!outstanding_) {
+  if (!outstandingProbe_) {
     return;
   }
-  const OutstandingProbe probe = *outstanding_;
-  outstanding_.reset();
+  const OutstandingProbe probe = *outstandingProbe_;
+  outstandingProbe_.reset();
   const MemberUpdate current = table_.updateAt(probe.target);
   if (!isIsolated(now) && current.incarnation == probe.incarnation &&
       isPresumedRunning(current.state)) {
@@ -233,58 +233,59 @@
     const bool isDue = suspicion.nextProbeAt && *suspicion.nextProbeAt <= now;
     if (isDue && table_.stateAt(suspicion.member) == MemberState::Suspected) {
       suspicion.nextProbeAt = now + kSuspectProbeInterval;
-      sendProbe(suspicion.member, nextProbe_++);
+      sendProbe(suspicion.member, nextProbeId_++);
     }
   }
 }
 
 void SwimMembership::expireSuspicions(Instant now) {
-  for (std::size_t place = 0; place < suspicions_.size();) {
-    const Suspicion suspicion = suspicions_[place];
+  for (std::size_t position = 0; position < suspicions_.size();) {
+    const Suspicion suspicion = suspicions_[position];
     const MemberUpdate current = table_.updateAt(suspicion.member);
     if (current.state != MemberState::Suspected) {
-      suspicions_.erase(suspicions_.begin() + static_cast<std::ptrdiff_t>(place));
+      suspicions_.erase(suspicions_.begin() + static_cast<std::ptrdiff_t>(position));
       continue;
     }
     if (suspicion.deadline > now) {
-      ++place;
+      ++position;
       continue;
     }
-    suspicions_.erase(suspicions_.begin() + static_cast<std::ptrdiff_t>(place));
+    suspicions_.erase(suspicions_.begin() + static_cast<std::ptrdiff_t>(position));
     applyUpdate(suspicion.member,
                 {current.node, current.incarnation, MemberState::Dead, current.refutation}, now);
   }
 }
 
 void SwimMembership::startProbe(Instant now) {
-  ++periods_;
-  if (periods_ % kPeriodsPerDeadProbe == 0 && table_.deadCount() > 0) {
+  ++periodCount_;
+  if (periodCount_ % kPeriodsPerDeadProbe == 0 && table_.deadCount() > 0) {
     probeDeadMember();
   }
   const std::optional<MemberIndex> target = nextProbeTarget();
   if (!target) {
     return;
   }
-  const std::uint32_t probe = nextProbe_++;
-  outstanding_ = OutstandingProbe{probe, *target, table_.updateAt(*target).incarnation, now, false};
+  const std::uint32_t probe = nextProbeId_++;
+  outstandingProbe_ =
+      OutstandingProbe{probe, *target, table_.updateAt(*target).incarnation, now, false};
   sendProbe(*target, probe);
 }
 
 void SwimMembership::probeDeadMember() {
   const std::optional<MemberIndex> dead = randomMember(isDead);
   if (dead) {
-    sendProbe(*dead, nextProbe_++);
+    sendProbe(*dead, nextProbeId_++);
   }
 }
 
 void SwimMembership::sendIndirectProbes() {
-  outstanding_->indirectSent = true;
-  const NodeId target = table_.nodeAt(outstanding_->target);
-  for (std::size_t count = 0; count < knobs_.indirectProbes; ++count) {
+  outstandingProbe_->indirectSent = true;
+  const NodeId target = table_.nodeAt(outstandingProbe_->target);
+  for (std::size_t count = 0; count < knobs_.indirectProbeCount; ++count) {
     const std::optional<MemberIndex> helper = randomMember(isPresumedRunning);
-    if (helper && *helper != outstanding_->target) {
+    if (helper && *helper != outstandingProbe_->target) {
       const NodeId to = table_.nodeAt(*helper);
-      send(to, IndirectProbeRequest{outstanding_->probe, target, makePiggyback(to)});
+      send(to, IndirectProbeRequest{outstandingProbe_->probe, target, makePiggyback(to)});
     }
   }
 }
@@ -299,7 +300,7 @@
   nextUrgentProbeAt_ = now + kUrgentProbeInterval;
   const std::optional<MemberIndex> target = randomMember(isPresumedRunning);
   if (target) {
-    sendProbe(*target, nextProbe_++);
+    sendProbe(*target, nextProbeId_++);
   }
 }
 
--- a/src/membership/swim_membership.h
+++ b/src/membership/swim_membership.h
@@ -61,6 +61,7 @@
   void handle(NodeId from, const ProbeRequest& request, Instant now);
   void handle(NodeId from, const ProbeReply& reply, Instant now);
   void handle(NodeId from, const IndirectProbeRequest& request, Instant now);
+  /// \return whether the sender used its latest known incarnation.
   bool readPiggyback(MemberIndex sender, const Piggyback& piggyback, Instant now);
   void reportNewerBundle(MemberIndex sender, BundleVersion version, Instant now);
   /// \param receiverIsOutdated the receiver's last message carried an older incarnation than the
@@ -70,7 +71,7 @@
 
   void applyUpdate(MemberIndex index, const MemberUpdate& update, Instant now);
   void applyUpdateAboutSelf(const MemberUpdate& update);
-  void adoptIncarnationAbove(Incarnation believed);
+  void adoptIncarnationAbove(Incarnation knownIncarnation);
   void refute(std::uint32_t atLeast);
   void onNoticeChanged(std::uint32_t noticeIndex);
 
@@ -82,6 +83,7 @@
   void probeSuspects(Instant now);
   void startProbe(Instant now);
   void probeDeadMember();
+  /// Sends a pending urgent probe if its interval has passed.
   void sendUrgentProbes(Instant now);
   void sendProbe(MemberIndex target, std::uint32_t probe);
   void sendIndirectProbes();
@@ -95,7 +97,7 @@
   std::vector<Member> members_;
   MembershipKnobs knobs_;
   RandomSource random_;
-  MemberTable table_;
+  MemberStateTable table_;
   std::optional<MemberIndex> selfIndex_;
   MemberState ownState_ = MemberState::Alive;
   std::uint32_t ownRefutation_ = 0;
@@ -104,17 +106,17 @@
   UpdateQueue memberQueue_;
   UpdateQueue noticeQueue_;
   BackendNotices notices_;
-  MemberIndex refreshMember_ = 0;
-  std::uint32_t refreshNotice_ = 0;
+  MemberIndex nextRefreshMember_ = 0;
+  std::uint32_t nextRefreshNotice_ = 0;
   std::uint32_t pendingUrgentProbes_ = 0;
   Instant nextUrgentProbeAt_;
   Instant nextBundleReportAt_;
 
   std::vector<std::uint16_t> probeOrder_;
   std::size_t probeCursor_ = 0;
-  std::uint32_t nextProbe_ = 1;
-  std::uint32_t periods_ = 0;
-  std::optional<OutstandingProbe> outstanding_;
+  std::uint32_t nextProbeId_ = 1;
+  std::uint32_t periodCount_ = 0;
+  std::optional<OutstandingProbe> outstandingProbe_;
   std::vector<Suspicion> suspicions_;
   std::vector<RelayedProbe> relayedProbes_;
   std::vector<MemberIndex> freeIndices_;  ///< Indices of removed members.
--- a/src/quota/quota_coordinator.h
+++ b/src/quota/quota_coordinator.h
@@ -67,7 +67,7 @@
   /// A competing coordinator that this node leaves a partition to.
   struct Yield {
     std::string competitor;
-    Instant heardAt;
+    Instant lastHeardAt;
   };
 
   void requestLeasesIfDue(std::uint32_t partition);
--- a/src/quota/quota_pool.cpp
+++ b/src/quota/quota_pool.cpp
@@ -60,8 +60,8 @@
     accounts_.clear();  // Obsoleted by the hand-over.
     importedAt_ = now;
   }
-  for (const HandedAccount& handed : handOver.accounts) {
-    const auto [entry, isNew] = accounts_.try_emplace(handed.tenant);
+  for (const HandedAccount& importedAccount : handOver.accounts) {
+    const auto [entry, isNew] = accounts_.try_emplace(importedAccount.tenant);
     Account& account = entry->second;
     if (isNew) {
       account.shareSeconds = shares_.shareSeconds(now);
@@ -69,8 +69,8 @@
       account.lastUsedAt = now;
     }
     // If both coordinators granted tokens, each held a part of the shares, so levels add up.
-    account.level += handed.level;
-    account.granted.addCountsByAge(handed.granted, now);
+    account.level += importedAccount.level;
+    account.granted.addCountsByAge(importedAccount.granted, now);
   }
 }
 
--- a/src/quota/quota_pool.h
+++ b/src/quota/quota_pool.h
@@ -63,7 +63,7 @@
   std::unordered_map<std::string, Account> accounts_;
   /// When each message of a hand-over was imported, by incarnation and part.
   std::map<std::pair<std::uint64_t, std::uint32_t>, Instant> importedParts_;
-  /// Time of the import, until the leases that follow it arrive.
+  /// When the last hand-over began to arrive; reset by the first lease after its lifetime.
   std::optional<Instant> importedAt_;
 };
 
--- a/src/quota/quota_service.cpp
+++ b/src/quota/quota_service.cpp
@@ -174,10 +174,10 @@
 }
 
 void QuotaService::onMessage(const std::string& from, const QuotaMessage& message) {
-  if (const auto* const lend = std::get_if<LeaseRequest>(&message)) {
-    onLeaseRequest(from, *lend);
-  } else if (const auto* const lent = std::get_if<LeaseGrant>(&message)) {
-    coordinator_.onLeaseGrant(from, *lent);
+  if (const auto* const leaseRequest = std::get_if<LeaseRequest>(&message)) {
+    onLeaseRequest(from, *leaseRequest);
+  } else if (const auto* const leaseGrant = std::get_if<LeaseGrant>(&message)) {
+    coordinator_.onLeaseGrant(from, *leaseGrant);
   } else if (const auto* const request = std::get_if<TokenRequest>(&message)) {
     coordinator_.onTokenRequest(from, partitionOf(request->tenant), *request);
   } else if (const auto* const release = std::get_if<LeaseRelease>(&message)) {
@@ -275,7 +275,7 @@
       decision = {isUnknown ? QuotaVerdict::Unknown : QuotaVerdict::OverLimit,
                   addJitter(reply.retryAfter)};
       if (isUnknown) {
-        decision.trace = traceOf(account, pending.coordinator, waiter.since);
+        decision.trace = traceOf(account, pending.coordinator, waiter.waitingSince);
       }
     }
     const bool isGranted = decision.verdict == QuotaVerdict::Granted;
@@ -336,7 +336,7 @@
 
 void QuotaService::expireAndRetry(Account& account) {
   const Instant now = clock_();
-  while (!account.waiters.empty() && now - account.waiters.front().since >= knobs_.maxWait) {
+  while (!account.waiters.empty() && now - account.waiters.front().waitingSince >= knobs_.maxWait) {
     rejectOldestWaiter(account);
   }
   if (account.waiters.empty()) {
@@ -381,17 +381,18 @@
   ++counters_.unknown;
   const std::string coordinator =
       account.pendingRequest ? account.pendingRequest->coordinator : std::string();
-  completeOldestWaiter(account, {QuotaVerdict::Unknown, addJitter(knobs_.minRetryAfter),
-                                 traceOf(account, coordinator, account.waiters.front().since)});
+  completeOldestWaiter(account,
+                       {QuotaVerdict::Unknown, addJitter(knobs_.minRetryAfter),
+                        traceOf(account, coordinator, account.waiters.front().waitingSince)});
 }
 
 QuotaTrace QuotaService::traceOf(const Account& account, const std::string& coordinator,
-                                 Instant since) const {
+                                 Instant waitingSince) const {
   const Instant now = clock_();
   QuotaTrace trace;
   trace.partition = partitionOf(account.tenant.name);
   trace.coordinator = coordinator;
-  trace.waited = now - since;
+  trace.waited = now - waitingSince;
   if (const auto last = lastAnswers_.find(trace.partition); last != lastAnswers_.end()) {
     trace.lastAnswerBy = last->second.coordinator;
     trace.lastAnswerAge = now - last->second.at;
--- a/src/quota/quota_service.h
+++ b/src/quota/quota_service.h
@@ -67,7 +67,7 @@
  private:
   struct Waiter {
     ProgramStage stage = ProgramStage::Beginning;
-    Instant since;
+    Instant waitingSince;
     Callback callback;
   };
   struct Tokens {
@@ -129,12 +129,14 @@
   void redirectOrPause(Account& account, const std::string& coordinator);
   void storeTokens(Account& account, const PendingRequest& pending, const TokenReply& reply);
   void serveWaiters(Account& account, const PendingRequest& pending, const TokenReply& reply);
+  /// Rejects requests that waited too long; then uses the local share or asks again after a
+  /// timeout.
   void expireAndRetry(Account& account);
   void completeScheduled(Account& account);
   void rejectOldestWaiter(Account& account);
-  /// \param since when the request began to wait.
+  /// \param waitingSince when the request began to wait.
   [[nodiscard]] QuotaTrace traceOf(const Account& account, const std::string& coordinator,
-                                   Instant since) const;
+                                   Instant waitingSince) const;
   /// Takes an unexpired token, which may not have accrued yet.
   [[nodiscard]] static bool trySpend(Account& account, ProgramStage stage, Instant now);
   static void dropExpired(Account& account, Instant now);
--- a/tests/quota/quota_fleet.h
+++ b/tests/quota/quota_fleet.h
@@ -54,7 +54,7 @@
             grants[name].push_back(timers.now);
             ++(stage == ProgramStage::Begun ? begunGranted : beginningGranted)[name];
           } else {
-            ++refused[name];
+            ++rejected[name];
             lastRetryAfter = decision.retryAfter;
             lastTrace = decision.trace;
           }
@@ -131,7 +131,7 @@
   logstore::FakeTimers timers;
   RandomSource& random() { return random_; }
   std::map<std::string, std::vector<Instant>> grants;
-  std::map<std::string, std::size_t> refused;
+  std::map<std::string, std::size_t> rejected;
   std::map<std::string, std::size_t> asked;
   std::map<std::string, std::size_t> begunGranted;
   std::map<std::string, std::size_t> beginningGranted;
--- a/tests/quota/quota_pool_test.cpp
+++ b/tests/quota/quota_pool_test.cpp
@@ -14,12 +14,12 @@
 const Instant kStart(seconds(100));
 constexpr std::uint64_t kIncarnation = 7;
 
-TokenRequest requestOf(std::uint32_t begun, std::uint32_t beginning = 0) {
+TokenRequest requestOf(std::uint32_t started, std::uint32_t starting = 0) {
   TokenRequest request;
   request.requestId = 1;
   request.tenant = "t";
-  request.tokensForStarted = begun;
-  request.tokensForStarting = beginning;
+  request.tokensForStarted = started;
+  request.tokensForStarting = starting;
   return request;
 }
 
--- a/tests/quota/quota_service_test.cpp
+++ b/tests/quota/quota_service_test.cpp
@@ -57,14 +57,14 @@
   SimulatedFleet fleet(kNodes, directoryOf(all), 1);
   settle(fleet);
   load(fleet, all, 0.6, seconds(20));
-  std::size_t refused = 0;
+  std::size_t rejected = 0;
   std::size_t asked = 0;
   for (const tenant::Tenant& tenant : all) {
-    refused += fleet.refused[tenant.name];
+    rejected += fleet.rejected[tenant.name];
     asked += fleet.asked[tenant.name];
   }
   CHECK(asked > 3000);
-  CHECK_TEXT(refused * 1000 <= asked, std::to_string(refused).c_str());
+  CHECK_TEXT(rejected * 1000 <= asked, std::to_string(rejected).c_str());
 }
 
 TEST(QuotaService, servesATenantUpToItsLimit) {
@@ -91,7 +91,7 @@
   SimulatedFleet fleet(kNodes, directoryOf(all), 4);
   settle(fleet);
   load(fleet, all, 4.0, seconds(5));
-  CHECK(fleet.refused["middle"] > 0);
+  CHECK(fleet.rejected["middle"] > 0);
   CHECK(fleet.lastRetryAfter >= QuotaKnobs{}.minRetryAfter);
   CHECK(fleet.lastRetryAfter <= 2 * QuotaKnobs{}.maxRetryAfter);
 }
@@ -291,14 +291,14 @@
   SimulatedFleet fleet(kNodes, directoryOf(all), 12);
   settle(fleet);
   load(fleet, all, 0.6, seconds(2));
-  const auto refusedBefore = fleet.refused;
+  const auto rejectedBefore = fleet.rejected;
   for (std::size_t node = 0; node < 24; ++node) {
     fleet.stop(node);
     load(fleet, all, 0.6, milliseconds(200));
     fleet.crash(node);
   }
   checkWithinLimits(fleet);
-  CHECK(fleet.refused == refusedBefore);
+  CHECK(fleet.rejected == rejectedBefore);
 }
 
 // Shuts nodes down one after the other. A lost message can delay a request beyond `maxWait`, so a
@@ -306,12 +306,12 @@
 TEST(QuotaService, plannedShutdownsRejectAtMostOneInAThousand) {
   constexpr std::uint64_t kFleets = 12;
   std::size_t asked = 0;
-  std::size_t refused = 0;
+  std::size_t rejected = 0;
   for (std::uint64_t seed = 1; seed <= kFleets; ++seed) {
     SimulatedFleet fleet(kNodes, directoryOf(all), seed);
     settle(fleet);
     load(fleet, all, 0.6, seconds(2));
-    const auto refusedBefore = fleet.refused;
+    const auto rejectedBefore = fleet.rejected;
     for (std::size_t node = 0; node < 24; ++node) {
       fleet.stop(node);
       load(fleet, all, 0.6, milliseconds(200));
@@ -320,12 +320,13 @@
     checkWithinLimits(fleet);
     for (const tenant::Tenant& tenant : all) {
       asked += fleet.asked[tenant.name];
-      const auto before = refusedBefore.find(tenant.name);
-      refused += fleet.refused[tenant.name] - (before == refusedBefore.end() ? 0 : before->second);
+      const auto before = rejectedBefore.find(tenant.name);
+      rejected +=
+          fleet.rejected[tenant.name] - (before == rejectedBefore.end() ? 0 : before->second);
     }
   }
-  CHECK_TEXT(refused * 1000 <= asked,
-             (std::to_string(refused) + " of " + std::to_string(asked)).c_str());
+  CHECK_TEXT(rejected * 1000 <= asked,
+             (std::to_string(rejected) + " of " + std::to_string(asked)).c_str());
 }
 
 TEST(QuotaService, lateReleaseDoesNotEndLeasesOfALaterIncarnation) {
@@ -354,7 +355,7 @@
     fleet.setNetworkGroup(node, 0);
   }
   load(fleet, all, 0.8, seconds(2));
-  fleet.refused.clear();
+  fleet.rejected.clear();
   // Requests arrive only at nodes that prefer one of the two coordinators.
   for (int step = 0; step < 2000; ++step) {
     const std::size_t odd = fleet.random().below(kNodes / 2) * 2 + 1;
@@ -362,7 +363,7 @@
     fleet.timers.advance(milliseconds(4));
   }
   checkWithinLimits(fleet);
-  CHECK(fleet.refused["large"] <= 5);
+  CHECK(fleet.rejected["large"] <= 5);
 }
 
 // Guards against rejections after a rolling restart during which other nodes were suspended.
@@ -371,7 +372,7 @@
     return counts[large.name] + counts[middle.name] + counts[small.name];
   };
   std::size_t asked = 0;
-  std::size_t refused = 0;
+  std::size_t rejected = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     constexpr std::size_t kFleet = 74;
     constexpr std::size_t kAtATime = 6;
@@ -381,9 +382,9 @@
     for (std::size_t node = 0; node < kFleet; ++node) {
       order.push_back((node * 31 + seed) % kFleet);
     }
-    for (std::size_t begun = 0; begun < kFleet; begun += kAtATime) {
-      const std::size_t end = std::min(begun + kAtATime, kFleet);
-      for (std::size_t index = begun; index < end; ++index) {
+    for (std::size_t first = 0; first < kFleet; first += kAtATime) {
+      const std::size_t end = std::min(first + kAtATime, kFleet);
+      for (std::size_t index = first; index < end; ++index) {
         const std::size_t node = order[index];
         fleet.stop(node);
         fleet.timers.runAfter(milliseconds(3200), [&fleet, node] { fleet.crash(node); });
@@ -400,13 +401,13 @@
     }
     load(fleet, all, 0.4, seconds(5));
     const std::size_t askedBefore = sumOf(fleet.asked);
-    const std::size_t refusedBefore = sumOf(fleet.refused);
+    const std::size_t rejectedBefore = sumOf(fleet.rejected);
     load(fleet, all, 0.4, seconds(20));
     asked += sumOf(fleet.asked) - askedBefore;
-    refused += sumOf(fleet.refused) - refusedBefore;
+    rejected += sumOf(fleet.rejected) - rejectedBefore;
     checkWithinLimits(fleet);
   }
-  CHECK_TEXT(refused * 1000 <= asked, std::to_string(refused).c_str());
+  CHECK_TEXT(rejected * 1000 <= asked, std::to_string(rejected).c_str());
 }
 
 // Guards against a second burst when the coordinator changes while a tenant is using its burst.
