--- a/src/membership/swim_membership.cpp
+++ b/src/membership/swim_membership.cpp
@@ -1,4 +1,4 @@
-// Probing, suspicion and the public face; swim_dissemination.cpp has what rides on messages.
+// Probing and suspicion; `swim_dissemination.cpp` implements the piggybacked gossip.
 #include "membership/swim_membership.h"
 
 #include <algorithm>
@@ -8,22 +8,24 @@
 namespace gorsetrail::membership {
 namespace {
 
-/// Dead members are probed once in so many periods, one of them, so that the two sides of a
-/// partition find each other after hours at a rate that does not depend on the fleet's size.
+/// One dead member is probed once in this many periods, so that the sides of a network partition
+/// find each other again at a rate independent of the fleet size.
 constexpr std::uint32_t kPeriodsPerDeadProbe = 4;
-/// Spacing of the extra probes that carry urgent news.
-constexpr Duration kUrgentSpacing = milliseconds(50);
-/// A node tells its suspect so often that it is suspected: a lost message must not kill it.
-constexpr Duration kChallengeSpacing = milliseconds(200);
-/// Probes made for others at one time; further requests are dropped (the origin has other helpers).
-constexpr std::size_t kMaximumRelays = 16;
+/// Interval between the extra probes that carry urgent updates.
+constexpr Duration kUrgentProbeInterval = milliseconds(50);
+/// Interval at which a suspected member is probed again, so that a lost message does not prevent
+/// its refutation.
+constexpr Duration kSuspectProbeInterval = milliseconds(200);
+/// Maximum number of concurrent probes on behalf of other nodes; further requests are dropped,
+/// since the origin asks several nodes.
+constexpr std::size_t kMaximumRelayedProbes = 16;
 
 bool isProbed(MemberState state) {
   return state == MemberState::Alive || state == MemberState::Leaving ||
          state == MemberState::Suspected;
 }
 
-bool isBelievedToRun(MemberState state) {
+bool isPresumedRunning(MemberState state) {
   return state == MemberState::Alive || state == MemberState::Leaving;
 }
 
@@ -40,11 +42,11 @@
       random_(seed ^ (std::uint64_t{self.value()} << 20)),
       table_(members_),
       selfIndex_(table_.find(self)),
-      memberNews_(knobs.updateTransmissions),
-      noticeNews_(knobs.updateTransmissions) {
+      memberQueue_(knobs.transmissionsPerUpdate),
+      noticeQueue_(knobs.transmissionsPerUpdate) {
   if (selfIndex_) {
     table_.merge(*selfIndex_, {self_, incarnation_, ownState_, ownRefutation_});
-    memberNews_.add(*selfIndex_, NewsPriority::Change);
+    memberQueue_.add(*selfIndex_, UpdatePriority::Change);
   }
   probeOrder_.resize(members_.size());
   std::iota(probeOrder_.begin(), probeOrder_.end(), std::uint16_t{0});
@@ -56,9 +58,9 @@
     members_[*known] = std::move(member);
     return true;
   }
-  if (!freePlaces_.empty()) {
-    const MemberIndex index = freePlaces_.back();
-    freePlaces_.pop_back();
+  if (!freeIndices_.empty()) {
+    const MemberIndex index = freeIndices_.back();
+    freeIndices_.pop_back();
     table_.replace(index, member.node);
     members_[index] = std::move(member);
     return true;
@@ -68,8 +70,8 @@
   }
   const MemberIndex index = table_.add(member.node);
   members_.push_back(std::move(member));
-  // A random place in the order, so that nodes which learn the list in one order do not probe in
-  // it.
+  // Inserted at a random position so that nodes with the same member list probe in different
+  // orders.
   probeOrder_.push_back(static_cast<std::uint16_t>(index));
   std::swap(probeOrder_.back(), probeOrder_[random_.below(probeOrder_.size())]);
   return true;
@@ -80,20 +82,20 @@
   if (!index || index == selfIndex_) {
     return;
   }
-  if (outstanding_ && outstanding_->target == *index) {
-    outstanding_.reset();
+  if (outstandingProbe_ && outstandingProbe_->target == *index) {
+    outstandingProbe_.reset();
   }
   std::erase_if(suspicions_,
                 [&](const Suspicion& suspicion) { return suspicion.member == *index; });
-  memberNews_.remove(*index);
+  memberQueue_.remove(*index);
   table_.remove(*index);
-  freePlaces_.push_back(*index);
+  freeIndices_.push_back(*index);
 }
 
 void SwimMembership::onMembershipMessage(NodeId from, const MembershipMessage& message,
                                          Instant now) {
   if (isIsolated(now)) {
-    // The suspects could not refute while nothing came through.
+    // Suspected members could not refute while this node received no messages.
     extendSuspicions(knobs_.suspicionTimeout);
   }
   lastHeardAt_ = now;
@@ -112,18 +114,18 @@
 void SwimMembership::handle(NodeId from, const ProbeReply& reply, Instant now) {
   const std::optional<MemberIndex> sender = table_.find(from);
   if (!sender || !readPiggyback(*sender, reply.piggyback, now)) {
-    return;  // An earlier life answered: that proves nothing about the present one.
+    return;  // A reply from an earlier incarnation does not show that the present one is alive.
   }
-  if (outstanding_ && outstanding_->probe == reply.probe) {
-    outstanding_.reset();
+  if (outstandingProbe_ && outstandingProbe_->probe == reply.probe) {
+    outstandingProbe_.reset();
     return;
   }
-  const auto relay = std::find_if(relays_.begin(), relays_.end(), [&](const Relay& candidate) {
-    return candidate.ownProbe == reply.probe;
-  });
-  if (relay != relays_.end()) {
+  const auto relay = std::find_if(
+      relayedProbes_.begin(), relayedProbes_.end(),
+      [&](const RelayedProbe& candidate) { return candidate.ownProbe == reply.probe; });
+  if (relay != relayedProbes_.end()) {
     send(relay->origin, ProbeReply{relay->originProbe, makePiggyback(relay->origin)});
-    relays_.erase(relay);
+    relayedProbes_.erase(relay);
   }
 }
 
@@ -134,28 +136,30 @@
   }
   readPiggyback(*sender, request.piggyback, now);
   const std::optional<MemberIndex> target = table_.find(request.target);
-  if (!target || relays_.size() >= kMaximumRelays) {
+  if (!target || relayedProbes_.size() >= kMaximumRelayedProbes) {
     return;
   }
-  const std::uint32_t probe = nextProbe_++;
-  relays_.push_back({probe, request.probe, from, now + knobs_.probePeriod});
+  const std::uint32_t probe = nextProbeId_++;
+  relayedProbes_.push_back({probe, request.probe, from, now + knobs_.probePeriod});
   sendProbe(*target, probe);
 }
 
 void SwimMembership::onMachineList(const std::vector<MachineListLine>& lines, Instant now) {
   for (const MachineListLine& line : lines) {
     const std::optional<MemberIndex> index = table_.find(line.node);
-    if (!index || line.incarnation < table_.belief(*index).incarnation) {
+    if (!index || line.incarnation < table_.updateAt(*index).incarnation) {
       continue;
     }
-    const MemberUpdate held = table_.belief(*index);
-    const bool sameLife = held.incarnation == line.incarnation;
-    // The list lags: about a life that is known already it may only add that it leaves or ended.
-    if (sameLife && line.state != MemberState::Terminated && line.state != MemberState::Leaving) {
+    const MemberUpdate current = table_.updateAt(*index);
+    const bool isSameIncarnation = current.incarnation == line.incarnation;
+    // The list may be stale: for a known incarnation only `Leaving` and `Terminated` are accepted.
+    if (isSameIncarnation && line.state != MemberState::Terminated &&
+        line.state != MemberState::Leaving) {
       continue;
     }
-    applyUpdate(*index, {line.node, line.incarnation, line.state, sameLife ? held.refutation : 0},
-                now);
+    applyUpdate(
+        *index,
+        {line.node, line.incarnation, line.state, isSameIncarnation ? current.refutation : 0}, now);
   }
 }
 
@@ -164,19 +168,19 @@
     started_ = true;
     lastTick_ = now;
     lastHeardAt_ = now;
-    // A random first moment keeps nodes that start together from probing in step.
+    // A random initial delay prevents nodes that start together from probing in step.
     nextPeriodAt_ = now + Duration(static_cast<Duration::rep>(random_.below(
                               static_cast<std::uint64_t>(knobs_.probePeriod.count()))));
   }
-  forgiveOwnPause(now);
+  extendDeadlinesAfterPause(now);
   lastTick_ = now;
-  std::erase_if(relays_, [now](const Relay& relay) { return relay.deadline <= now; });
+  std::erase_if(relayedProbes_, [now](const RelayedProbe& relay) { return relay.deadline <= now; });
   if (!isIsolated(now)) {
     expireSuspicions(now);
   }
-  challengeSuspects(now);
-  if (outstanding_ && !outstanding_->indirectSent &&
-      now - outstanding_->sentAt >= knobs_.probeTimeout) {
+  probeSuspects(now);
+  if (outstandingProbe_ && !outstandingProbe_->indirectSent &&
+      now - outstandingProbe_->sentAt >= knobs_.probeTimeout) {
     sendIndirectProbes();
   }
   if (now >= nextPeriodAt_) {
@@ -184,16 +188,16 @@
     startProbe(now);
     nextPeriodAt_ = std::max(nextPeriodAt_ + knobs_.probePeriod, now + knobs_.probePeriod / 2);
   }
-  spreadUrgentNews(now);
+  sendUrgentProbes(now);
 }
 
-/// A node that did not run for a while must not take its own silence for that of others.
-void SwimMembership::forgiveOwnPause(Instant now) {
+/// After a suspension of this process, missing replies do not count as failures of other nodes.
+void SwimMembership::extendDeadlinesAfterPause(Instant now) {
   const Duration gap = now - lastTick_;
   if (gap < knobs_.probePeriod) {
     return;
   }
-  outstanding_.reset();
+  outstandingProbe_.reset();
   extendSuspicions(gap);
 }
 
@@ -204,96 +208,99 @@
 }
 
 void SwimMembership::expireProbe(Instant now) {
-  if (!outstanding_) {
+  if (!outstandingProbe_) {
     return;
   }
-  const OutstandingProbe probe = *outstanding_;
-  outstanding_.reset();
-  const MemberUpdate held = table_.belief(probe.target);
-  if (!isIsolated(now) && held.incarnation == probe.incarnation && isBelievedToRun(held.state)) {
+  const OutstandingProbe probe = *outstandingProbe_;
+  outstandingProbe_.reset();
+  const MemberUpdate current = table_.updateAt(probe.target);
+  if (!isIsolated(now) && current.incarnation == probe.incarnation &&
+      isPresumedRunning(current.state)) {
     applyUpdate(probe.target,
-                {held.node, held.incarnation, MemberState::Suspected, held.refutation}, now);
-    suspicions_.back().nextChallenge = now;
+                {current.node, current.incarnation, MemberState::Suspected, current.refutation},
+                now);
+    suspicions_.back().nextProbeAt = now;
   }
 }
 
-/// Nobody at all is heard: rather this node's own links failed than all others at once.
+/// \return whether no message arrived for so long that this node's own links have probably failed.
 bool SwimMembership::isIsolated(Instant now) const {
   return now - lastHeardAt_ >= knobs_.isolationSilence;
 }
 
-void SwimMembership::challengeSuspects(Instant now) {
+void SwimMembership::probeSuspects(Instant now) {
   for (Suspicion& suspicion : suspicions_) {
-    const bool isDue = suspicion.nextChallenge && *suspicion.nextChallenge <= now;
+    const bool isDue = suspicion.nextProbeAt && *suspicion.nextProbeAt <= now;
     if (isDue && table_.stateAt(suspicion.member) == MemberState::Suspected) {
-      suspicion.nextChallenge = now + kChallengeSpacing;
-      sendProbe(suspicion.member, nextProbe_++);
+      suspicion.nextProbeAt = now + kSuspectProbeInterval;
+      sendProbe(suspicion.member, nextProbeId_++);
     }
   }
 }
 
 void SwimMembership::expireSuspicions(Instant now) {
-  for (std::size_t place = 0; place < suspicions_.size();) {
-    const Suspicion suspicion = suspicions_[place];
-    const MemberUpdate held = table_.belief(suspicion.member);
-    if (held.state != MemberState::Suspected) {
-      suspicions_.erase(suspicions_.begin() + static_cast<std::ptrdiff_t>(place));
+  for (std::size_t position = 0; position < suspicions_.size();) {
+    const Suspicion suspicion = suspicions_[position];
+    const MemberUpdate current = table_.updateAt(suspicion.member);
+    if (current.state != MemberState::Suspected) {
+      suspicions_.erase(suspicions_.begin() + static_cast<std::ptrdiff_t>(position));
       continue;
     }
     if (suspicion.deadline > now) {
-      ++place;
+      ++position;
       continue;
     }
-    suspicions_.erase(suspicions_.begin() + static_cast<std::ptrdiff_t>(place));
-    applyUpdate(suspicion.member, {held.node, held.incarnation, MemberState::Dead, held.refutation},
-                now);
+    suspicions_.erase(suspicions_.begin() + static_cast<std::ptrdiff_t>(position));
+    applyUpdate(suspicion.member,
+                {current.node, current.incarnation, MemberState::Dead, current.refutation}, now);
   }
 }
 
 void SwimMembership::startProbe(Instant now) {
-  ++periods_;
-  if (periods_ % kPeriodsPerDeadProbe == 0 && table_.deadCount() > 0) {
+  ++periodCount_;
+  if (periodCount_ % kPeriodsPerDeadProbe == 0 && table_.deadCount() > 0) {
     probeDeadMember();
   }
   const std::optional<MemberIndex> target = nextProbeTarget();
   if (!target) {
     return;
   }
-  const std::uint32_t probe = nextProbe_++;
-  outstanding_ = OutstandingProbe{probe, *target, table_.belief(*target).incarnation, now, false};
+  const std::uint32_t probe = nextProbeId_++;
+  outstandingProbe_ =
+      OutstandingProbe{probe, *target, table_.updateAt(*target).incarnation, now, false};
   sendProbe(*target, probe);
 }
 
 void SwimMembership::probeDeadMember() {
   const std::optional<MemberIndex> dead = randomMember(isDead);
   if (dead) {
-    sendProbe(*dead, nextProbe_++);
+    sendProbe(*dead, nextProbeId_++);
   }
 }
 
 void SwimMembership::sendIndirectProbes() {
-  outstanding_->indirectSent = true;
-  const NodeId target = table_.nodeAt(outstanding_->target);
-  for (std::size_t count = 0; count < knobs_.indirectProbes; ++count) {
-    const std::optional<MemberIndex> helper = randomMember(isBelievedToRun);
-    if (helper && *helper != outstanding_->target) {
+  outstandingProbe_->indirectSent = true;
+  const NodeId target = table_.nodeAt(outstandingProbe_->target);
+  for (std::size_t count = 0; count < knobs_.indirectProbeCount; ++count) {
+    const std::optional<MemberIndex> helper = randomMember(isPresumedRunning);
+    if (helper && *helper != outstandingProbe_->target) {
       const NodeId to = table_.nodeAt(*helper);
-      send(to, IndirectProbeRequest{outstanding_->probe, target, makePiggyback(to)});
+      send(to, IndirectProbeRequest{outstandingProbe_->probe, target, makePiggyback(to)});
     }
   }
 }
 
-/// Urgent news does not wait for the next period: a few extra probes, spaced out, so that even a
-/// flood of news (a zone lost at once) costs each node a bounded rate.
-void SwimMembership::spreadUrgentNews(Instant now) {
-  if (urgentSends_ == 0 || now < nextUrgentAt_) {
+/// Sends extra probes for urgent updates without waiting for the next period. The probes are spaced
+/// so that the rate stays bounded even if many updates arrive at once.
+void SwimMembership::sendUrgentProbes(Instant now) {
+  if (pendingUrgentProbes_ == 0 || now < nextUrgentProbeAt_) {
     return;
   }
-  --urgentSends_;
-  nextUrgentAt_ = now + kUrgentSpacing;
-  const std::optional<MemberIndex> target = randomMember(isBelievedToRun);
+  --pendingUrgentProbes_;
+  nextUrgentProbeAt_ = now + kUrgentProbeInterval;
+  const std::optional<MemberIndex> target = randomMember(isPresumedRunning);
   if (target) {
-    sendProbe(*target, nextProbe_++);
+    sendProbe(*target, nextProbeId_++);
   }
 }
 
@@ -322,15 +329,15 @@
   }
 }
 
-std::optional<MemberIndex> SwimMembership::randomMember(bool (*wanted)(MemberState)) {
+std::optional<MemberIndex> SwimMembership::randomMember(bool (*predicate)(MemberState)) {
   if (members_.empty()) {
     return std::nullopt;
   }
   const auto start = static_cast<MemberIndex>(random_.below(members_.size()));
   for (std::size_t step = 0; step < members_.size(); ++step) {
-    // Steps by a random order, so that members after a dead range are not preferred.
+    // Iterates in random order so that members after a range of dead ones are not preferred.
     const MemberIndex candidate = probeOrder_[(start + step) % members_.size()];
-    if (candidate != selfIndex_ && wanted(table_.stateAt(candidate))) {
+    if (candidate != selfIndex_ && predicate(table_.stateAt(candidate))) {
       return candidate;
     }
   }
@@ -348,7 +355,7 @@
 
 Incarnation SwimMembership::incarnationOf(NodeId node) const {
   const std::optional<MemberIndex> index = table_.find(node);
-  return index ? table_.belief(*index).incarnation : Incarnation(0);
+  return index ? table_.updateAt(*index).incarnation : Incarnation(0);
 }
 
 std::vector<MembershipCommand> SwimMembership::takeCommands() {
