--- a/src/edge/event_log.cpp
+++ b/src/edge/event_log.cpp
@@ -83,7 +83,7 @@
   }
   writeOut();
   if (!refusalCounts_.empty()) {
-    appendRefusalCounts();  // Into the room that was made.
+    appendRefusalCounts();  // Uses the space that the first write freed.
     writeOut();
   }
 }
--- a/src/edge/event_splitter.cpp
+++ b/src/edge/event_splitter.cpp
@@ -7,7 +7,7 @@
   return !line.empty() && line.back() == '\r' ? line.substr(0, line.size() - 1) : line;
 }
 
-/// \return the value of a field line, without the one blank behind the colon.
+/// \return the value of a field line, without the optional space after the colon.
 std::string_view valueOfLine(std::string_view line, std::size_t nameLength) {
   std::string_view value = line.substr(nameLength + 1);
   return !value.empty() && value.front() == ' ' ? value.substr(1) : value;
--- a/src/edge/exchange.cpp
+++ b/src/edge/exchange.cpp
@@ -53,7 +53,7 @@
     findHistory();
     return;
   }
-  // Tools are called by programs that have begun.
+  // Only a streaming request can be the first of its program; tools are called later.
   const bool begins = isStreaming() && stage() == routing::WorkStage::FirstTurn;
   context_.quota.admit(*checked_.tenant,
                        begins ? quota::ProgramStage::Beginning : quota::ProgramStage::Begun,
@@ -105,7 +105,7 @@
 }
 
 bool Exchange::reserveTurnMemory() {
-  // Text of a token, upper end: outputs are counted before they are made.
+  // Upper estimate, because the output is counted before it is generated.
   constexpr std::size_t kBytesPerToken = 8;
   const std::size_t bytes = request_.body.size() + request_.maximumTokens * kBytesPerToken;
   if (!admitPersistedTurn(bytes)) {
@@ -176,14 +176,14 @@
   const std::uint64_t known = context_.ledger.knownUse(checked_.programName);
   const std::uint64_t roomNeeded = request_.maximumTokens * context_.knobs.ampleBudgetTurns;
   const bool ample = known + roomNeeded <= *request_.tokenBudget;
-  // While the budget is ample as far as is known, the reservation runs beside the dispatch. Where
-  // it may not be decided, the home is asked first: it may hold a lease. A turn that was dispatched
-  // beside a reservation that failed may have run, and its client may not try it again.
+  // With ample known budget the request is dispatched in parallel with the reservation. If the
+  // reservation may fail, it comes first: a turn that was dispatched before its reservation failed
+  // may have run, and its client must not retry it.
   const ledger::ReservationOutlook outlook =
       context_.ledger.reservationOutlook(checked_.programName);
-  const bool besides = ample && outlook == ledger::ReservationOutlook::Likely;
-  reserve(!besides, reservationTimeout(outlook));
-  if (besides && !ended_) {
+  const bool inParallel = ample && outlook == ledger::ReservationOutlook::Likely;
+  reserve(!inParallel, reservationTimeout(outlook));
+  if (inParallel && !ended_) {
     dispatch();
   }
 }
@@ -200,16 +200,17 @@
   return timeLeft() - kAnswerMargin;
 }
 
-void Exchange::reserve(bool dispatchAfterwards, Duration longest) {
+void Exchange::reserve(bool dispatchAfterwards, Duration timeLimit) {
   budget_ = BudgetState::Reserving;
   reservationMayExist_ = true;
-  const Duration limit = std::max(Duration::zero(), std::min(longest, timeLeft() - kAnswerMargin));
-  const ledger::BudgetRequest wanted{
+  const Duration limit =
+      std::max(Duration::zero(), std::min(timeLimit, timeLeft() - kAnswerMargin));
+  const ledger::BudgetRequest budgetRequest{
       {checked_.turnName, checked_.programName, request_.maximumTokens},
       *request_.tokenBudget,
       request_.programTimeLeft};
   context_.ledger.reserve(
-      wanted, limit,
+      budgetRequest, limit,
       [self = shared_from_this(), dispatchAfterwards](const ledger::ReservationReply& reply) {
         self->onReservation(dispatchAfterwards, reply);
       });
@@ -217,7 +218,7 @@
 
 void Exchange::onReservation(bool dispatchAfterwards, const ledger::ReservationReply& reply) {
   if (ended_) {
-    // The request ended first; what it did not use was given back when it ended.
+    // `end` has already settled the budget.
     return;
   }
   if (reply.outcome == ledger::ReservationOutcome::Granted) {
@@ -246,8 +247,8 @@
   }
 }
 
-// The first of several turns meets an outage or a dead home, and nothing of this one was released
-// yet: by now the home is known, or a lease was taken.
+// A second attempt is safe because no event was released yet. It often succeeds, because by then
+// the ledger has found the program's coordinator or obtained a lease.
 void Exchange::retryReservation(const ledger::ReservationReply& reply) {
   if (reservationRetried_) {
     logReservationRefused(reply);
@@ -327,7 +328,7 @@
     return;
   }
   if (!streamBegun_) {
-    // The client has seen nothing yet: it gets an answer rather than a closed connection.
+    // The client has received nothing yet, so that an error answer is still possible.
     failWithUnknownState(kBadGateway, reason);
     return;
   }
@@ -377,8 +378,8 @@
     context_.retention.onHoldEnded(false, context_.clock() - streamEndedAt_);
   }
   const std::string programLeft = programMillisecondsLeft();
-  // Programs that are late are looked into like failures.
-  const bool well = outcome == "answered" && programLeft != "0";
+  // Requests of programs past their deadline are logged like failures.
+  const bool succeeded = outcome == "answered" && programLeft != "0";
   const std::string route = checked_.routeName();
   const std::string tenant = checked_.tenantName();
   context_.metrics.onRequestEnded(route, std::string(outcome), std::string(reason),
@@ -398,7 +399,7 @@
       {"first_event_ms", millisecondsUntil(firstEventAt_)},
       {"program_left_ms", programLeft},
       {"took_ms", wholeMilliseconds(context_.clock() - arrivedAt_)}};
-  if (well) {
+  if (succeeded) {
     context_.log.routine("request_ended", fields);
   } else if (outcome.starts_with("refused_")) {
     context_.log.refusal("request_ended", {request_.programId, reason}, fields);
@@ -411,7 +412,7 @@
     call_.reset();
   }
   releaseReplica();
-  // Closes the connection when the answer has not been written whole.
+  // Closes the connection if the answer is incomplete.
   writer_.reset();
 }
 
--- a/src/edge/exchange_placement.cpp
+++ b/src/edge/exchange_placement.cpp
@@ -1,4 +1,4 @@
-// The part of `Exchange` that finds a replica, or tells why there is none.
+// Part of `Exchange`: selects a replica, or refuses when there is none.
 #include <algorithm>
 #include <string>
 
@@ -18,7 +18,8 @@
   query.replica.isConnected = [this](const routing::Replica& replica) {
     return context_.client.hasIdleConnection(replica.entry.address);
   };
-  // What has begun anywhere goes on: turning it away would waste the work and promise too much.
+  // A request that may have run is exempt from admission control: refusing it would waste work and
+  // wrongly imply that it was not executed.
   const bool canBeRefused = checked_.hasEngine && isStreaming() && !mayHaveRun_ && !streamBegun_;
   if (canBeRefused) {
     query.admission = routing::AdmissionRequest{stage(), checked_.priority, checked_.turnName};
--- a/src/edge/exchange_refusals.cpp
+++ b/src/edge/exchange_refusals.cpp
@@ -1,4 +1,4 @@
-// Log lines of refusals that were decided elsewhere, with the figures that decided them.
+// Part of `Exchange`: logs refusals with the figures that led to them.
 #include <algorithm>
 #include <string>
 
@@ -9,8 +9,8 @@
 namespace gorsetrail::edge {
 namespace {
 
-/// Lines of one refused search. The partitions that a turn mostly stands in are searched first, so
-/// these tell what a search of all zones would have added little to.
+/// Most log lines of one refused history lookup. The most likely partitions are searched first, so
+/// that later ones add little information.
 constexpr std::size_t kMostUnreadPartitions = ledger::kTurnChoices;
 
 std::uint64_t percentOf(double share) {
--- a/src/edge/exchange_replica.cpp
+++ b/src/edge/exchange_replica.cpp
@@ -1,4 +1,4 @@
-// The part of `Exchange` at a replica: sending, its answer, its failures, and trying again.
+// Part of `Exchange`: dispatches to a replica, handles its response and failures, and retries.
 #include <algorithm>
 #include <utility>
 
@@ -32,14 +32,14 @@
   head_ = {};
   body_.clear();
   progress_.beginRun();
-  Dispatch how;
-  how.address = replica->entry.address;
-  how.replicaId = replica->entry.id;
-  how.timeLeft = timeLeft();
-  how.priority = urgency();
-  how.lastEventId = progress_.lastEventId();
-  how.tenant = checked_.tenantName();
-  how.connectTimeLimit = context_.knobs.connectTimeLimit;
+  Dispatch parameters;
+  parameters.address = replica->entry.address;
+  parameters.replicaId = replica->entry.id;
+  parameters.timeLeft = timeLeft();
+  parameters.priority = urgency();
+  parameters.lastEventId = progress_.lastEventId();
+  parameters.tenant = checked_.tenantName();
+  parameters.connectTimeLimit = context_.knobs.connectTimeLimit;
   context_.log.routine("dispatch", {{"request", request_.requestId},
                                     {"program", request_.programId},
                                     {"route", checked_.route->name},
@@ -49,7 +49,7 @@
                                     {"replica", replica->entry.id},
                                     {"in_flight", std::uint64_t{replica->inFlight}},
                                     {"number", dispatchNumber_},
-                                    {"left_ms", wholeMilliseconds(how.timeLeft)},
+                                    {"left_ms", wholeMilliseconds(parameters.timeLeft)},
                                     {"granted_as", grant.empty() ? "usual" : grant}});
   http::ResponseHandler handler;
   const auto self = shared_from_this();
@@ -78,7 +78,8 @@
       self->onReplicaFailure(failure);
     }
   };
-  call_ = context_.client.send(context_.wire.makeReplicaRequest(request_, how), std::move(handler));
+  call_ = context_.client.send(context_.wire.makeReplicaRequest(request_, parameters),
+                               std::move(handler));
   startSilenceTimer();
 }
 
@@ -94,9 +95,10 @@
   }
   if (!head_.notExecuted && status != kMisdirected) {
     mayHaveRun_ = true;
-    const double took = toMilliseconds(context_.clock() - dispatchedAt_);
-    double& usual = replica_->answerMilliseconds;
-    usual = usual <= 0 ? took : usual + kLatencySmoothingFactor * (took - usual);
+    const double answerTime = toMilliseconds(context_.clock() - dispatchedAt_);
+    double& average = replica_->answerMilliseconds;
+    average =
+        average <= 0 ? answerTime : average + kLatencySmoothingFactor * (answerTime - average);
     replica_->failures = 0;
     replica_->suspectUntil = {};
   }
@@ -133,7 +135,7 @@
     return;
   }
   if (progress_.hasPartialEvent()) {
-    onReplicaFailure({http::FailureStage::Broken, "the stream ended amid an event"});
+    onReplicaFailure({http::FailureStage::Broken, "stream ended with an incomplete event"});
     return;
   }
   releaseReplica();
@@ -148,7 +150,7 @@
   context_.log.routine("replica_refused", {{"request", request_.requestId},
                                            {"replica", replica_->entry.id},
                                            {"status", std::uint64_t{head_.status}}});
-  const bool hasEnded = head_.status == kMisdirected;  // Another replica has its address.
+  const bool hasEnded = head_.status == kMisdirected;  // A different replica uses the address.
   if (hasEnded) {
     runs_.recordUnreachable(replica_);
   }
@@ -175,11 +177,11 @@
   return failed;
 }
 
-FailedDispatch Exchange::abandonUnservedDispatch(bool lives) {
+FailedDispatch Exchange::abandonUnservedDispatch(bool isRunning) {
   excludedReplicas_.push_back(replica_);
   ++refusedDispatches_;
   FailedDispatch failed = failedDispatch(false);
-  failed.mayRetrySameReplica = lives && replica_ == resumeReplica_ && hasTriesLeft();
+  failed.mayRetrySameReplica = isRunning && replica_ == resumeReplica_ && hasTriesLeft();
   releaseReplica();
   return failed;
 }
@@ -224,12 +226,12 @@
     return;
   }
   if (streamBegun_) {
-    // A resumed stream was answered with something else than a stream.
+    // The replica answered a resumed stream with a response that is not a stream.
     abortAnswer("resume_answered_without_stream");
     return;
   }
   if (statusConsistentWith(head_.status, executionState()) != head_.status) {
-    // The replica did not say that it left the request undone, and its status would promise that.
+    // The status implies "not executed", but the replica did not guarantee it by a header.
     failWithUnknownState(kBadGateway, "replica_status_without_its_promise");
     return;
   }
@@ -240,7 +242,7 @@
 
 void Exchange::onStreamEnd() {
   if (!streamBegun_) {
-    // A whole stream without a single event.
+    // The stream is complete but has no events.
     streamBegun_ = true;
     writer_->beginStream(head_.status, replicaHeaders_);
   }
@@ -248,7 +250,7 @@
     onStored(Success{});
     return;
   }
-  streamEnded_ = false;  // The end is on its way; `releaseOutput` must not start it again.
+  streamEnded_ = false;  // So that `releaseOutput` does not handle the end a second time.
   endHeld_ = true;
   context_.retention.onHoldStarted();
   const Duration limit = context_.retention.holdLimit(timeLeft() - kAnswerMargin);
@@ -312,15 +314,14 @@
     ++context_.counters.resumes;
   }
   ++resumes_;
-  const bool staysThere =
-      resumeReplica_ &&
-      !context_.placement.barOf(*resumeReplica_, placementSubject(), context_.clock());
-  if (staysThere) {
+  const bool resumes = resumeReplica_ && !context_.placement.barOf(
+                                             *resumeReplica_, placementSubject(), context_.clock());
+  if (resumes) {
     send(resumeReplica_);
   } else if (mayRunOnAnotherReplica()) {
     dispatch();
   } else {
-    // Its replica may get nothing more, and the route allows no further one.
+    // The previous replica may not be used any more, and the route allows no further one.
     abortAnswer("attempts_spent");
   }
 }
@@ -341,21 +342,21 @@
   }
   call_.reset();
   followRestartedReplica();
-  const bool sent = failure.stage == http::FailureStage::Broken;
-  mayHaveRun_ = mayHaveRun_ || sent;
+  const bool requestWritten = failure.stage == http::FailureStage::Broken;
+  mayHaveRun_ = mayHaveRun_ || requestWritten;
   recordReplicaFailure(failure.reason);
-  if (!sent) {
+  if (!requestWritten) {
     onRequestNotSent();
     return;
   }
   runs_.recordRun(replica_, dispatchedAt_);
-  // A stream that was cut goes on where it ran, as long as the replica lives: that is no second
-  // replica, and its memory still holds the prompt. Every other request looks for another one.
+  // An interrupted stream resumes at the same replica while that is running: it does not count as a
+  // further replica, and its prompt cache is warm. Other requests try a different replica.
   recover(isStreaming());
 }
 
-// Where the request has run, another replica may get it only if that run is over. A full replica
-// resets connections, and on a full link they come too late; in both cases the replica lives.
+// If the request may be running at this replica, it may go to another one only after a reachability
+// check: connections also fail when the replica is overloaded or this node's link is saturated.
 void Exchange::onRequestNotSent() {
   if (!runs_.mayStillBeRunningAt(replica_)) {
     abandonUnsentDispatch(false);
@@ -370,11 +371,11 @@
   });
 }
 
-void Exchange::abandonUnsentDispatch(bool lives) {
-  if (!lives) {
+void Exchange::abandonUnsentDispatch(bool isRunning) {
+  if (!isRunning) {
     resumeReplica_ = nullptr;
   }
-  const RecoveryStep step = nextStep(abandonUnservedDispatch(lives));
+  const RecoveryStep step = nextStep(abandonUnservedDispatch(isRunning));
   performStep(step, step == RecoveryStep::Refuse ? "no_connection" : "replica_broke_off");
 }
 
--- a/src/edge/exchange_silence.cpp
+++ b/src/edge/exchange_silence.cpp
@@ -1,5 +1,5 @@
-// The part of `Exchange` that looks after a replica which says nothing: it may be slow, without
-// power, behind a cut, or started again.
+// Part of `Exchange`: detects that a replica which sends nothing has failed, is partitioned or has
+// restarted, as opposed to being slow.
 #include <algorithm>
 #include <functional>
 #include <string>
@@ -20,13 +20,12 @@
                            });
 }
 
-// A replica without power, or behind a cut, says nothing: only a connection that does not come up
-// tells it from one that works. What is no proof of that must not end its run: the replica would go
-// on with it beside the next one.
+// A failed or partitioned replica is told from a slow one only by new connections that fail.
+// Without that proof the run must not be abandoned: the request would run at two replicas at once.
 void Exchange::onSilenceTimeout() {
   followRestartedReplica();
   if (replica_->hasEnded()) {
-    onRunLost("its process has started again");
+    onRunLost("replica process restarted during the request");
     return;
   }
   if (!headReceived_ && !noAnswerRecorded_ &&
@@ -45,7 +44,7 @@
       return;
     }
     if (reach == Reachability::Unreachable && !heardSince) {
-      self.onRunLost("silent, and takes no connection");
+      self.onRunLost("no data received and no new connection accepted");
     } else {
       self.startSilenceTimer();
     }
@@ -75,22 +74,23 @@
   call_->cancel();
   call_.reset();
   mayHaveRun_ = true;
-  headReceived_ = false;  // A head that came earlier does not show that the replica still runs.
+  headReceived_ =
+      false;  // An earlier response head does not show that the replica is still running.
   recordReplicaFailure(reason);
   runs_.recordRun(replica_, dispatchedAt_);
   runs_.recordUnreachable(replica_);
   recover(false);
 }
 
-// The registration of a new life is read a while after its start: what was sent meanwhile runs
-// there, and must neither count as lost nor run a second time.
+// A restarted replica's registration is read some time after its start. Requests dispatched in
+// between run at the new incarnation and must neither count as lost nor run a second time.
 void Exchange::followRestartedReplica() {
-  const routing::ReplicaPtr reached = routing::lifeAt(replica_, dispatchedAt_);
-  if (reached == replica_) {
+  const routing::ReplicaPtr incarnation = routing::lifeAt(replica_, dispatchedAt_);
+  if (incarnation == replica_) {
     return;
   }
   releaseReplica();
-  replica_ = reached;
+  replica_ = incarnation;
   ++replica_->inFlight;
 }
 
--- a/src/edge/mechanisms.cpp
+++ b/src/edge/mechanisms.cpp
@@ -33,8 +33,8 @@
     all += all.empty() ? "" : ", ";
     all += known.second;
   }
-  return {ErrorKind::InvalidField, "--without", "no mechanism is named " + std::string(name),
-          "use names of this list: " + all};
+  return {ErrorKind::InvalidField, "--without", "unknown mechanism " + std::string(name),
+          "valid names: " + all};
 }
 
 }  // namespace
--- a/src/edge/reach_check.cpp
+++ b/src/edge/reach_check.cpp
@@ -7,10 +7,11 @@
 namespace gorsetrail::edge {
 namespace {
 
-/// To the replica: a lost packet holds one connection up for longer than the check lasts.
+/// Connections opened to the replica. Two, because one lost packet delays a connection beyond the
+/// timeout.
 constexpr int kReplicaConnections = 2;
 
-/// Connections under way; each reports once.
+/// Combines the results of the connections of one check; each connection reports once.
 class ReachabilityCheck {
  public:
   explicit ReachabilityCheck(std::function<void(Reachability)> callback)
--- a/src/edge/replica_runs.cpp
+++ b/src/edge/replica_runs.cpp
@@ -32,8 +32,8 @@
 }
 
 bool ReplicaRuns::mayRunOnAnotherReplica(std::uint32_t maximum) const {
-  const auto counted = std::count_if(runs_.begin(), runs_.end(), mayStillBeRunning);
-  return static_cast<std::uint32_t>(counted) < maximum;
+  const auto counting = std::count_if(runs_.begin(), runs_.end(), mayStillBeRunning);
+  return static_cast<std::uint32_t>(counting) < maximum;
 }
 
 }  // namespace gorsetrail::edge
--- a/src/edge/request_check.cpp
+++ b/src/edge/request_check.cpp
@@ -15,7 +15,8 @@
 constexpr unsigned kUnauthorized = 401;
 constexpr unsigned kForbidden = 403;
 
-/// \return whether what is not in the configuration in force is not in the newest one either.
+/// \return whether the active configuration is recent enough to refuse a request permanently for
+/// something that it lacks.
 bool isConfigurationFresh(const EdgeContext& context, Instant now) {
   return now - context.freshness.configurationHeardAt <= context.knobs.configurationTrust;
 }
@@ -57,8 +58,8 @@
   return std::nullopt;
 }
 
-// A route and a tenant may each keep to regions of their own, and share none, as long as the tenant
-// never uses the route: so such requests are refused, and not the configuration.
+// A route and a tenant with disjoint allowed regions are a valid configuration as long as the
+// tenant does not use the route. Therefore the request is refused, not the configuration.
 std::optional<Refusal> findPlaces(const EdgeContext& context, Instant now,
                                   CheckedRequest& request) {
   if (!request.configuration->regions) {
@@ -84,9 +85,9 @@
   }
 }
 
-// Engines refuse what their memory can't hold as if they were full: each try would use up its
-// tenant's limit and ask several replicas. 503 without a time to come back, since the limit is the
-// service's and not a fault of the request: a later configuration may raise it.
+// Engines refuse a request that exceeds their memory as if they were busy, so that each attempt
+// would use up quota and try several replicas. The status is 503 without a retry-after, because the
+// request is valid and a later configuration may raise the limit.
 std::optional<Refusal> checkSize(const EdgeContext& context, const CallRequest& call, Instant now,
                                  const CheckedRequest& request) {
   if (!request.hasEngine || !isConfigurationFresh(context, now)) {
@@ -124,9 +125,10 @@
   if (check.refusal) {
     return check;
   }
-  const std::uint32_t ofRoute = check.request.route->priority;
+  const std::uint32_t routePriority = check.request.route->priority;
   const tenant::Tenant* const tenant = check.request.tenant;
-  check.request.priority = tenant == nullptr ? ofRoute : tenant->priority.value_or(ofRoute);
+  check.request.priority =
+      tenant == nullptr ? routePriority : tenant->priority.value_or(routePriority);
   nameForLedger(call, check.request);
   return check;
 }
