--- a/tests/edge/doubtful_ledger.h
+++ b/tests/edge/doubtful_ledger.h
@@ -1,4 +1,4 @@
-/// \file A ledger that answers reservations and searches as the test says.
+/// \file Fake ledger with scripted answers to reservations and history lookups.
 #pragma once
 
 #include <algorithm>
@@ -11,11 +11,11 @@
 
 namespace gorsetrail::edge::testing {
 
-/// A ledger whose reservations failed a moment ago, with a home that answers all the same.
-class DoubtfulLedger final : public ledger::Ledger {
+/// Fake ledger that gives reservations a chosen outlook and a scripted sequence of outcomes.
+class ScriptedLedger final : public ledger::Ledger {
  public:
-  /// \param outcomes of the reservations one after the other; the last one stays.
-  explicit DoubtfulLedger(std::vector<ledger::ReservationOutcome> outcomes,
+  /// \param outcomes outcomes of consecutive reservations; the last one repeats.
+  explicit ScriptedLedger(std::vector<ledger::ReservationOutcome> outcomes,
                           ledger::ReservationOutlook outlook = ledger::ReservationOutlook::Unlikely)
       : outcomes_(std::move(outcomes)), outlook_(outlook) {}
   void findHistory(const ledger::TurnName& /*turn*/, HistoryCallback callback) override {
@@ -27,7 +27,7 @@
   }
   void reserve(const ledger::BudgetRequest& /*request*/, Duration limit,
                ReservationCallback callback) override {
-    longestWait = limit;
+    reservationTimeout = limit;
     const std::size_t number = std::min(reservations, outcomes_.size() - 1);
     ++reservations;
     if (timers == nullptr) {
@@ -44,12 +44,12 @@
   }
   std::uint64_t knownUse(const std::string& /*program*/) const override { return 0; }
 
-  Duration longestWait{};
-  logstore::FakeTimers* timers = nullptr;  ///< Replies take 2 ms; without them they come at once.
+  Duration reservationTimeout{};           ///< Time limit of the last reservation.
+  logstore::FakeTimers* timers = nullptr;  ///< Set: replies take 2 ms; null: they are immediate.
   std::size_t reservations = 0;
 
   ledger::HistoryAnswer history = ledger::UnknownTurn{};
-  ledger::ReservationReply reply;  ///< All but the outcome.
+  ledger::ReservationReply reply;  ///< Template for replies; the outcome is replaced.
 
  private:
   [[nodiscard]] ledger::ReservationReply replyOf(ledger::ReservationOutcome outcome) const {
--- a/tests/edge/event_log_test.cpp
+++ b/tests/edge/event_log_test.cpp
@@ -1,4 +1,4 @@
-// Log lines are bounded, count what was left out, and never hold the process up.
+// Guards against log output that blocks the process, grows without limit or is lost uncounted.
 #include "edge/event_log.h"
 
 #include <algorithm>
@@ -30,14 +30,14 @@
   }
 };
 
-TEST(EventLog, writesLinesWithTheirFields) {
+TEST(EventLog, writesEventsWithTheirFields) {
   EventLog log = make();
   log.important("store_lost", {{"reason", "two words"}, {"count", std::uint64_t{3}}});
   log.flush();
   STRCMP_CONTAINS("event=store_lost reason=\"two words\" count=3\n", written.c_str());
 }
 
-TEST(EventLog, boundsRoutineLinesAndSaysHowManyWereLeftOut) {
+TEST(EventLog, limitsRoutineLinesAndReportsHowManyWereDropped) {
   knobs.routineLinesPerSecond = 10;
   EventLog log = make();
   for (int line = 0; line < 100; ++line) {
@@ -52,7 +52,7 @@
   LONGS_EQUAL(12, lines());
 }
 
-TEST(EventLog, writesEveryFailureWhateverElseIsWritten) {
+TEST(EventLog, doesNotRateLimitImportantLines) {
   knobs.routineLinesPerSecond = 1;
   EventLog log = make();
   for (int line = 0; line < 50; ++line) {
@@ -63,7 +63,7 @@
   LONGS_EQUAL(52, lines());
 }
 
-TEST(EventLog, dropsAndCountsWhenNobodyReads) {
+TEST(EventLog, dropsAndCountsLinesWhileTheOutputIsBlocked) {
   room = 0;
   knobs.bufferBytes = 2000;
   EventLog log = make();
@@ -85,14 +85,14 @@
 constexpr int kPrograms = 200;
 constexpr int kRoutineLines = 60;
 constexpr int kFlushesPerSecond = 4;
-/// What a pipe takes at once while its reader has read all before.
+/// Capacity of an empty pipe.
 constexpr std::size_t kPipeBytes = 65536;
-/// A line as long as a refusal's longest.
+/// Makes a line about as long as the longest line of a refusal.
 const std::string kLongValue(kRefusalBytes / 2 - 100, 'x');
 
 }  // namespace
 
-/// A second of refusals, two lines each, with routine lines beside them.
+/// One second of refusals with two lines each, mixed with routine lines.
 TEST_GROUP(EventLogBurst) {
   std::string written;
   Instant now{seconds(100)};
@@ -123,9 +123,9 @@
       log.flush();
     }
   }
-  /// \return refusals of the program with that event: whole lines, and those counted in one.
-  int toldOf(const std::string& program, const std::string& event) const {
-    int told = 0;
+  /// \return the number of refusals of the program with that event, logged in full or counted.
+  int reportedRefusals(const std::string& program, const std::string& event) const {
+    int reported = 0;
     std::istringstream lines(written);
     for (std::string line; std::getline(lines, line);) {
       if (line.find(" program=" + program + " ") == std::string::npos) {
@@ -133,35 +133,35 @@
       }
       const std::size_t count = line.find(" count=");
       if (line.find("event=" + event + " ") != std::string::npos) {
-        ++told;
+        ++reported;
       } else if (line.find(" of=" + event + " ") != std::string::npos) {
-        told += std::stoi(line.substr(count + 7));
+        reported += std::stoi(line.substr(count + 7));
       }
     }
-    return told;
+    return reported;
   }
 };
 
-TEST(EventLogBurst, plainLinesOfABurstOfRefusalsWouldBeLeftOut) {
+TEST(EventLogBurst, importantLinesOfABurstExceedTheBuffer) {
   burst([this](const char* event, const std::string& program) {
     log.important(event, {{"program", program}, {"x", kLongValue}});
   });
   CHECK(log.leftOut() > kRefusals);
 }
 
-TEST(EventLogBurst, everyRefusalOfABurstIsToldWholeOrCounted) {
+TEST(EventLogBurst, everyRefusalOfABurstIsLoggedOrCounted) {
   burst([this](const char* event, const std::string& program) {
     log.refusal(event, {program, "why"}, {{"program", program}, {"x", kLongValue}});
   });
-  CHECK(log.leftOut() <= kRoutineLines + 1);  // Nothing but routine lines.
+  CHECK(log.leftOut() <= kRoutineLines + 1);  // Only routine lines were dropped.
   for (int program = 0; program < kPrograms; ++program) {
     const std::string name = "p" + std::to_string(program);
-    LONGS_EQUAL(kRefusals / kPrograms, toldOf(name, "reservation_refused"));
-    LONGS_EQUAL(kRefusals / kPrograms, toldOf(name, "request_ended"));
+    LONGS_EQUAL(kRefusals / kPrograms, reportedRefusals(name, "reservation_refused"));
+    LONGS_EQUAL(kRefusals / kPrograms, reportedRefusals(name, "request_ended"));
   }
 }
 
-TEST(EventLogBurst, refusalsHaveRoomWhenAllElseHasFilledTheBuffer) {
+TEST(EventLogBurst, refusalsFitWhenOtherLinesHaveFilledTheBuffer) {
   for (int line = 0; line < 2000; ++line) {
     log.important("replica_changed", {{"x", kLongValue}});
   }
@@ -170,11 +170,11 @@
   for (int flush = 0; flush < kFlushesPerSecond; ++flush) {
     log.flush();
   }
-  LONGS_EQUAL(1, toldOf("p", "request_ended"));
+  LONGS_EQUAL(1, reportedRefusals("p", "request_ended"));
   CHECK(written.find("refusals_counted") == std::string::npos);
 }
 
-TEST(EventLogBurst, whatIsCountedIsBounded) {
+TEST(EventLogBurst, limitsTheNumberOfRefusalKeys) {
   const EventLogKnobs knobs{};
   for (std::size_t number = 0; number < 2 * knobs.maximumRefusalCounts; ++number) {
     const std::string program = "p" + std::to_string(number);
--- a/tests/edge/event_splitter_test.cpp
+++ b/tests/edge/event_splitter_test.cpp
@@ -1,4 +1,4 @@
-// Whole events come out of any cutting of the bytes.
+// Guards against events that depend on how the stream is split into reads.
 #include "edge/event_splitter.h"
 
 #include <CppUTest/TestHarness.h>
@@ -23,7 +23,7 @@
   CHECK_FALSE(splitter.hasPartialEvent());
 }
 
-TEST(EventSplitter, givesTheSameEventsHoweverTheBytesAreCut) {
+TEST(EventSplitter, givesTheSameEventsForEverySplitOfTheBytes) {
   for (std::size_t cut = 1; cut < kStream.size(); ++cut) {
     EventSplitter fresh;
     auto events = fresh.feed(kStream.substr(0, cut));
@@ -39,7 +39,7 @@
   }
 }
 
-TEST(EventSplitter, holdsAPartialEventBackAndDropsItWhenTold) {
+TEST(EventSplitter, buffersAPartialEventUntilItIsDropped) {
   CHECK(splitter.feed("id: 1\ndata: ha").empty());
   CHECK_TRUE(splitter.hasPartialEvent());
   splitter.dropPartialEvent();
--- a/tests/edge/exchange_life_test.cpp
+++ b/tests/edge/exchange_life_test.cpp
@@ -1,5 +1,4 @@
-// Requests under way at a replica whose process starts again: none is lost silently, none runs
-// twice that may not, and what reached the new process stays there.
+// Guards against requests lost or executed twice when the replica's process restarts.
 #include "edge/exchange_world.h"
 
 #include <CppUTest/TestHarness.h>
@@ -16,9 +15,9 @@
 
 }  // namespace
 
-TEST_GROUP(ExchangeLife) {
+TEST_GROUP(ExchangeReplicaRestart) {
   ExchangeWorld world;
-  std::uint64_t newestStart = kFirstStart;
+  std::uint64_t latestStart = kFirstStart;
 
   void setup() override {
     for (const char* id : {"r1", "r2", "r3"}) {
@@ -28,15 +27,15 @@
     }
   }
   void wait(Duration time = milliseconds(50)) { world.timers.advance(time); }
-  /// Within this a request notices that its replica has started again.
-  void waitUntilNoticed() { wait(world.context.knobs.silence + milliseconds(10)); }
+  /// Waits until the exchange checks whether its replica has restarted.
+  void waitForSilenceTimeout() { wait(world.context.knobs.silence + milliseconds(10)); }
   std::string askedReplica() { return world.call().headerOf("expect"); }
-  /// The replica's process has started again, and its registration was read. \return its new life.
-  routing::ReplicaPtr startAgain(const std::string& id, Instant beganAt,
-                                 const std::string& address = "10.0.0.9:1") {
+  /// Registers a restart of the replica's process. \return the new incarnation.
+  routing::ReplicaPtr restartReplica(const std::string& id, Instant beganAt,
+                                     const std::string& address = "10.0.0.9:1") {
     routing::ReplicaEntry entry = world.replicas.find(id)->entry;
-    newestStart += 1000;
-    entry.startedAt = routing::ReplicaStart(newestStart);
+    latestStart += 1000;
+    entry.startedAt = routing::ReplicaStart(latestStart);
     entry.address = address;
     CHECK(world.replicas.upsert(entry, beganAt) == routing::ReplicaChange::Restarted);
     return world.replicas.find(id);
@@ -48,20 +47,20 @@
       }
     }
   }
-  void answerWhole(unsigned status = 200) {
+  void respond(unsigned status = 200) {
     world.call().head(status);
     world.call().done();
   }
 };
 
-TEST(ExchangeLife, aStreamGoesOnElsewhereAfterItsReplicaStartedAgain) {
+TEST(ExchangeReplicaRestart, aStreamResumesAtAnotherReplicaAfterARestart) {
   const auto client = world.start(ExchangeWorld::turn("again"));
   wait();
   world.beginEvents();
   world.call().body(kFirst);
   const auto broken = world.client.exchanges.back();
-  startAgain(askedReplica(), world.timers.now);
-  waitUntilNoticed();
+  restartReplica(askedReplica(), world.timers.now);
+  waitForSilenceTimeout();
   CHECK_TRUE(broken->cancelled);
   LONGS_EQUAL(2, world.dispatches());
   CHECK(world.call().request.address != broken->request.address);
@@ -73,7 +72,7 @@
   CHECK_TRUE(client->whole);
 }
 
-TEST(ExchangeLife, aStreamThatBreaksIsNotResumedWhereItRanBeforeTheRestart) {
+TEST(ExchangeReplicaRestart, anInterruptedStreamIsNotResumedAtThePreviousIncarnation) {
   const auto client = world.start(ExchangeWorld::turn("again"));
   wait();
   const std::string replica = askedReplica();
@@ -81,7 +80,7 @@
   world.beginEvents();
   world.call().body(kFirst);
   removeOthers(replica);
-  startAgain(replica, world.timers.now);
+  restartReplica(replica, world.timers.now);
   world.call().fail(http::FailureStage::Broken);
   LONGS_EQUAL(2, world.dispatches());
   CHECK(world.call().request.address != address);
@@ -91,36 +90,36 @@
   STRCMP_EQUAL((kFirst + kSecond).c_str(), client->body.c_str());
 }
 
-TEST(ExchangeLife, anIdempotentRequestGoesOnAfterItsReplicaStartedAgain) {
+TEST(ExchangeReplicaRestart, anIdempotentRequestIsRetriedAfterARestart) {
   const auto client = world.start(ExchangeWorld::request("safe"));
   const std::string replica = askedReplica();
   removeOthers(replica);
   wait();
-  const routing::ReplicaPtr next = startAgain(replica, world.timers.now);
-  waitUntilNoticed();
+  const routing::ReplicaPtr next = restartReplica(replica, world.timers.now);
+  waitForSilenceTimeout();
   LONGS_EQUAL(2, world.dispatches());
   STRCMP_EQUAL("10.0.0.9:1", world.call().request.address.c_str());
   LONGS_EQUAL(1, next->inFlight);
-  answerWhole();
+  respond();
   LONGS_EQUAL(200, client->status);
   LONGS_EQUAL(0, next->inFlight);
 }
 
-TEST(ExchangeLife, aNonRepeatableRequestIsUnknownAndNotSentAgain) {
+TEST(ExchangeReplicaRestart, aNonIdempotentRequestIsNotRetriedAfterARestart) {
   const auto client = world.start(ExchangeWorld::request("unsafe"));
   wait();
-  startAgain(askedReplica(), world.timers.now);
-  waitUntilNoticed();
+  restartReplica(askedReplica(), world.timers.now);
+  waitForSilenceTimeout();
   LONGS_EQUAL(502, client->status);
   LONGS_EQUAL(1, world.dispatches());
   CHECK_TRUE(world.call().cancelled);
 }
 
-TEST(ExchangeLife, theEndOfARequestOfTheEarlierLifeIsNotCountedAtTheLaterOne) {
+TEST(ExchangeReplicaRestart, aFailureAtThePreviousIncarnationDoesNotCountForTheNewOne) {
   world.start(ExchangeWorld::request("unsafe"));
   const routing::ReplicaPtr earlier = world.replicas.find(askedReplica());
   wait();
-  const routing::ReplicaPtr later = startAgain(earlier->entry.id, world.timers.now);
+  const routing::ReplicaPtr later = restartReplica(earlier->entry.id, world.timers.now);
   LONGS_EQUAL(1, earlier->inFlight);
   world.call().fail(http::FailureStage::Broken);
   LONGS_EQUAL(0, earlier->inFlight);
@@ -129,24 +128,24 @@
   CHECK(later->suspectUntil == Instant{});
 }
 
-TEST(ExchangeLife, aRequestThatReachedTheNewProcessStaysThere) {
-  // The process started again, and the request was sent before its registration was read.
+TEST(ExchangeReplicaRestart, aRequestThatReachedTheNewIncarnationStaysThere) {
+  // The request is dispatched after the restart but before the new registration is read.
   const Instant beganAt = world.timers.now - milliseconds(300);
   const auto client = world.start(ExchangeWorld::request("unsafe"));
   const routing::ReplicaPtr earlier = world.replicas.find(askedReplica());
   wait();
-  const routing::ReplicaPtr later = startAgain(earlier->entry.id, beganAt);
-  waitUntilNoticed();
+  const routing::ReplicaPtr later = restartReplica(earlier->entry.id, beganAt);
+  waitForSilenceTimeout();
   LONGS_EQUAL(0, client->status);
   CHECK_FALSE(world.call().cancelled);
   LONGS_EQUAL(0, earlier->inFlight);
   LONGS_EQUAL(1, later->inFlight);
-  answerWhole();
+  respond();
   LONGS_EQUAL(200, client->status);
   LONGS_EQUAL(0, later->inFlight);
 }
 
-TEST(ExchangeLife, aStreamThatReachedTheNewProcessIsResumedThere) {
+TEST(ExchangeReplicaRestart, aStreamThatReachedTheNewIncarnationIsResumedThere) {
   const Instant beganAt = world.timers.now - milliseconds(300);
   world.start(ExchangeWorld::turn("again"));
   wait();
@@ -154,22 +153,22 @@
   const std::string address = world.call().request.address;
   world.beginEvents();
   world.call().body(kFirst);
-  startAgain(replica, beganAt, address);
+  restartReplica(replica, beganAt, address);
   world.call().fail(http::FailureStage::Broken);
   LONGS_EQUAL(2, world.dispatches());
   STRCMP_EQUAL(replica.c_str(), askedReplica().c_str());
   STRCMP_EQUAL(address.c_str(), world.call().request.address.c_str());
 }
 
-TEST(ExchangeLife, aRequestIsLostAfterTwoQuickStartsToo) {
+TEST(ExchangeReplicaRestart, aRequestIsLostAfterTwoRestartsInARow) {
   const Instant firstRestart = world.timers.now - milliseconds(300);
   const auto client = world.start(ExchangeWorld::request("unsafe"));
   const std::string replica = askedReplica();
   wait();
-  // It was sent to the second life, which has ended as well.
-  const routing::ReplicaPtr second = startAgain(replica, firstRestart);
-  const routing::ReplicaPtr third = startAgain(replica, world.timers.now);
-  waitUntilNoticed();
+  // The request reached the second incarnation, which has ended as well.
+  const routing::ReplicaPtr second = restartReplica(replica, firstRestart);
+  const routing::ReplicaPtr third = restartReplica(replica, world.timers.now);
+  waitForSilenceTimeout();
   LONGS_EQUAL(502, client->status);
   LONGS_EQUAL(1, world.dispatches());
   LONGS_EQUAL(0, second->inFlight);
--- a/tests/edge/exchange_refusals_test.cpp
+++ b/tests/edge/exchange_refusals_test.cpp
@@ -1,4 +1,4 @@
-// Refusals tell what decided them.
+// Guards against refusals whose log lines lack the figures that led to them.
 #include <memory>
 #include <string>
 
@@ -22,15 +22,15 @@
         ->start();
     return client;
   }
-  /// \return the lines written so far.
+  /// \return all log lines so far.
   const char* lines() {
     world.eventLog.flush();
     return world.lines.c_str();
   }
 };
 
-TEST(ExchangeRefusals, aReservationThatLeasesOfOthersHoldUpTellsItsFigures) {
-  DoubtfulLedger ledger({ledger::ReservationOutcome::Unavailable});
+TEST(ExchangeRefusals, aReservationBlockedByOtherNodesLeasesIsLoggedWithItsFigures) {
+  ScriptedLedger ledger({ledger::ReservationOutcome::Unavailable});
   ledger.reply.reason = ledger::UndecidedReason::UnseenSpending;
   ledger.reply.tokensUsed = 600;
   ledger.reply.tokensUnseen = 450;
@@ -50,8 +50,8 @@
   STRCMP_CONTAINS("outcome=refused_503 reason=reservation_unavailable", lines());
 }
 
-TEST(ExchangeRefusals, aReservationThatFailsTwiceBesideItsDispatchIsToldOnce) {
-  DoubtfulLedger ledger({ledger::ReservationOutcome::Unavailable},
+TEST(ExchangeRefusals, aReservationThatFailsTwiceInParallelWithTheDispatchIsLoggedOnce) {
+  ScriptedLedger ledger({ledger::ReservationOutcome::Unavailable},
                         ledger::ReservationOutlook::Likely);
   ledger.timers = &world.timers;
   ledger.reply.reason = ledger::UndecidedReason::NoAnswer;
@@ -66,15 +66,15 @@
   STRCMP_CONTAINS("reason=no_answer", written.c_str());
 }
 
-TEST(ExchangeRefusals, aSpentBudgetIsNoRefusedReservation) {
-  DoubtfulLedger ledger({ledger::ReservationOutcome::Spent});
+TEST(ExchangeRefusals, aSpentBudgetIsNotLoggedAsARefusedReservation) {
+  ScriptedLedger ledger({ledger::ReservationOutcome::Spent});
   EdgeContext context = world.contextWith(ledger);
   LONGS_EQUAL(402, startIn(context, ExchangeWorld::turn("again"))->status);
   CHECK(std::string(lines()).find("reservation_refused") == std::string::npos);
 }
 
-TEST(ExchangeRefusals, anUnreadHistoryTellsItsPartitionsAndWhatEachNodeSaid) {
-  DoubtfulLedger ledger({ledger::ReservationOutcome::Granted});
+TEST(ExchangeRefusals, anUnreadableHistoryIsLoggedWithPartitionsAndNodes) {
+  ScriptedLedger ledger({ledger::ReservationOutcome::Granted});
   const ledger::UnreadPartition first{
       "turns/2", 0, "no answer", {{"a:1", CoordinatorState::Silent, {}}}, true};
   const ledger::UnreadPartition second{"turns/5", 1, "time limit reached", {}, false};
@@ -91,17 +91,17 @@
   STRCMP_CONTAINS("partition=turns/5 choice=1 unread_partitions=4 nodes=\"\" coordinator_lives=0",
                   written.c_str());
   const std::string event = "event=history_refused";
-  std::size_t told = 0;
+  std::size_t reported = 0;
   for (std::size_t at = written.find(event); at != std::string::npos;
        at = written.find(event, at + 1)) {
-    ++told;
+    ++reported;
   }
-  LONGS_EQUAL(2, told);
+  LONGS_EQUAL(2, reported);
   STRCMP_CONTAINS("outcome=refused_503 reason=history_unavailable", written.c_str());
 }
 
-TEST(ExchangeRefusals, theLinesOfARefusalAreNoLongerThanTheRoomKeptForThem) {
-  DoubtfulLedger ledger({ledger::ReservationOutcome::Unavailable});
+TEST(ExchangeRefusals, theLinesOfARefusalFitTheReservedBytes) {
+  ScriptedLedger ledger({ledger::ReservationOutcome::Unavailable});
   ledger.reply.reason = ledger::UndecidedReason::LeaseInsufficient;
   ledger.reply.partition = "gorsetrail-budgets/7";
   ledger.reply.repliedBy = "10.200.101.117:18306";
--- a/tests/edge/exchange_retention_test.cpp
+++ b/tests/edge/exchange_retention_test.cpp
@@ -1,5 +1,5 @@
-// Persisted turns in an outage of the store: no end is released before the turn's record stands,
-// and none is held for longer than its client listens.
+// Guards against a stream end that is released before the turn's record is stored, or held for
+// longer than the client waits.
 #include "edge/exchange_world.h"
 
 #include <CppUTest/TestHarness.h>
@@ -19,14 +19,14 @@
   ExchangeWorld world;
 
   void wait() { world.timers.advance(milliseconds(50)); }
-  /// A turn without a budget: only its record needs the store.
+  /// \return a turn without a budget, so that only its record needs the store.
   static CallRequest turn(const std::string& requestId) {
     CallRequest call = ExchangeWorld::request("kept");
     call.requestId = requestId;
     return call;
   }
-  /// The store goes silent, and the node has noticed, whatever partition a turn belongs to.
-  void loseStore() {
+  /// Makes the store stop answering and waits until the ledger has detected it for all partitions.
+  void makeStoreUnavailable() {
     world.log.fault = FakeFault::Silent;
     for (int number = 0; number < 20; ++number) {
       world.ledger.storeTurn({"probe" + std::to_string(number), "", {}, "text"}, milliseconds(700),
@@ -37,7 +37,7 @@
     }
     CHECK_FALSE(world.ledger.takesTurn({"q1"}));
   }
-  /// Starts a turn whose replica makes its whole stream at once.
+  /// Starts a turn whose replica sends its complete stream at once.
   std::shared_ptr<ClientView> startAndRun(const std::string& requestId) {
     const auto client = world.start(turn(requestId));
     world.beginEvents();
@@ -47,8 +47,8 @@
   }
 };
 
-TEST(ExchangeRetention, passesEventsOnAndHoldsOnlyTheEndInAnOutage) {
-  loseStore();
+TEST(ExchangeRetention, forwardsEventsAndHoldsOnlyTheEndInAnOutage) {
+  makeStoreUnavailable();
   const auto client = startAndRun("q1");
   STRCMP_EQUAL(kEvent.c_str(), client->body.c_str());
   CHECK_FALSE(client->whole);
@@ -57,13 +57,13 @@
   LONGS_EQUAL(1, world.context.retention.counters().begunInOutage);
 }
 
-TEST(ExchangeRetention, releasesTheEndWhenTheStoreIsBackAndTheTurnIsFoundThen) {
-  loseStore();
+TEST(ExchangeRetention, releasesTheEndAfterTheStoreRecoversAndTheTurnIsReadable) {
+  makeStoreUnavailable();
   const auto client = startAndRun("q1");
   world.timers.advance(milliseconds(700));
   CHECK_FALSE(client->whole);
   world.log.fault = FakeFault::None;
-  // Any call that the store answers tells that it is back.
+  // Any answered call shows that the store has recovered.
   world.store.append({{"another", 0}, {"record"}, seconds(1)},
                      [](const logstore::StoreResult<logstore::AppendReply>&) {});
   wait();
@@ -73,7 +73,7 @@
   LONGS_EQUAL(1, world.context.retention.counters().storedLate);
   world.eventLog.flush();
   CHECK(world.lines.find("turn_stored_late") != std::string::npos);
-  // Another node that knows only the log finds it.
+  // Another node must find the turn by reading only the log.
   ledger::ProgramLedger other(world.store, world.timers, [this] { return world.timers.now; }, {});
   bool found = false;
   other.findHistory({"q1"}, [&found](const ledger::HistoryAnswer& answer) {
@@ -83,8 +83,8 @@
   CHECK_TRUE(found);
 }
 
-TEST(ExchangeRetention, breaksTheStreamOffWhenItsClientWouldGiveItUp) {
-  loseStore();
+TEST(ExchangeRetention, abortsTheStreamAtTheHoldLimit) {
+  makeStoreUnavailable();
   const auto client = startAndRun("q1");
   world.timers.advance(milliseconds(1000));
   CHECK_FALSE(client->closed);
@@ -96,8 +96,8 @@
   LONGS_EQUAL(1, world.context.retention.counters().givenUp);
 }
 
-TEST(ExchangeRetention, releasesNothingWholeIfTheStoreStaysAway) {
-  loseStore();
+TEST(ExchangeRetention, completesNoStreamWhileTheStoreIsUnavailable) {
+  makeStoreUnavailable();
   for (int number = 0; number < 20; ++number) {
     startAndRun("q" + std::to_string(number));
     world.timers.advance(milliseconds(200));
@@ -110,11 +110,11 @@
   LONGS_EQUAL(0, world.context.retention.held());
 }
 
-TEST(ExchangeRetention, refusesFurtherTurnsWithATimeToComeBackWhenTheMemoryIsFull) {
+TEST(ExchangeRetention, refusesFurtherTurnsWithARetryAfterAtTheMemoryLimit) {
   TurnRetentionKnobs knobs;
-  knobs.mostBytes = 20;  // Room for the inputs of four turns.
+  knobs.mostBytes = 20;  // Enough for the inputs of four turns.
   world.context.retention = TurnRetentionPolicy(knobs);
-  loseStore();
+  makeStoreUnavailable();
   for (const char* name : {"q1", "q2", "q3", "q4"}) {
     const auto client = startAndRun(name);
     LONGS_EQUAL(200, client->status);
@@ -127,8 +127,8 @@
   LONGS_EQUAL(before, world.dispatches());
 }
 
-TEST(ExchangeRetention, refusesATurnAtOnceThatHasNoTimeToWaitForItsRecord) {
-  loseStore();
+TEST(ExchangeRetention, refusesATurnThatHasNoTimeToWaitForItsRecord) {
+  makeStoreUnavailable();
   CallRequest call = turn("q1");
   call.deadline = milliseconds(500);
   const auto client = world.start(call);
@@ -137,11 +137,11 @@
   LONGS_EQUAL(0, world.dispatches());
 }
 
-TEST(ExchangeRetention, refusesBeforeTheDispatchWhereTheMechanismIsOff) {
+TEST(ExchangeRetention, refusesBeforeTheDispatchIfTheMechanismIsDisabled) {
   TurnRetentionKnobs knobs;
   knobs.holdsEnds = false;
   world.context.retention = TurnRetentionPolicy(knobs);
-  loseStore();
+  makeStoreUnavailable();
   const auto client = world.start(turn("q1"));
   LONGS_EQUAL(503, client->status);
   STRCMP_EQUAL("store_not_answering", client->body.c_str());
@@ -149,8 +149,8 @@
   LONGS_EQUAL(0, world.dispatches());
 }
 
-TEST(ExchangeRetention, heldEndsAreReleasedDuringAPlannedStop) {
-  loseStore();
+TEST(ExchangeRetention, releasesHeldEndsDuringAPlannedStop) {
+  makeStoreUnavailable();
   const auto held = startAndRun("q1");
   world.context.takesRequests = false;
   const auto refused = world.start(turn("q2"));
@@ -161,8 +161,8 @@
   CHECK_TRUE(held->whole);
 }
 
-TEST(ExchangeRetention, aClientThatLeavesWhileItsEndIsHeldLeavesNothingBehind) {
-  loseStore();
+TEST(ExchangeRetention, aClientThatDisconnectsDuringAHoldLeaksNothing) {
+  makeStoreUnavailable();
   const auto client = startAndRun("q1");
   client->observer.onGone();
   LONGS_EQUAL(0, world.context.retention.held());
@@ -171,7 +171,7 @@
   CHECK_FALSE(client->whole);
 }
 
-TEST(ExchangeRetention, onlyTurnsOfPartitionsThatTheStoreAnswersEndAtOnce) {
+TEST(ExchangeRetention, endsOnlyTurnsOfAvailablePartitionsAtOnce) {
   const ledger::LedgerPartitions layout{{}};
   const auto partitionOf = [&](const std::string& name) { return layout.ofTurn({"", 0}, name); };
   std::string other = "a";
--- a/tests/edge/exchange_stream_test.cpp
+++ b/tests/edge/exchange_stream_test.cpp
@@ -1,4 +1,5 @@
-// Streams, turns and budgets: nothing is released before what it rests on stands in the log.
+// Guards against events without a reservation, unrecorded turns, and streams that lose events or
+// run at too many replicas.
 #include "edge/exchange_world.h"
 
 #include <algorithm>
@@ -25,7 +26,7 @@
   ExchangeWorld world;
 
   EdgeContext contextWith(ledger::Ledger & ledger) { return world.contextWith(ledger); }
-  /// Starts a turn that may be resumed.
+  /// Starts a turn on the resumable route.
   static std::shared_ptr<ClientView> startIn(EdgeContext & context) {
     auto client = std::make_shared<ClientView>();
     std::make_shared<Exchange>(context, ExchangeWorld::turn("again"),
@@ -36,10 +37,10 @@
   void wait() { world.timers.advance(milliseconds(50)); }
   struct BrokenStream {
     std::shared_ptr<ClientView> client;
-    std::string replica;  ///< Where it ran.
+    std::string replica;  ///< ID of the replica that ran it.
   };
-  /// A turn that may be resumed begins, and breaks after its first event.
-  BrokenStream breakAStream() {
+  /// Starts a resumable turn and breaks its connection after the first event.
+  BrokenStream breakStream() {
     const auto client = world.start(ExchangeWorld::turn("again"));
     wait();
     const std::string replica = world.call().headerOf("expect");
@@ -48,13 +49,13 @@
     world.call().fail(http::FailureStage::Broken);
     return {client, replica};
   }
-  /// The replica asked last says that it is full and has not run the request.
-  void refuseForWantOfRoom() {
+  /// Answers the last dispatch with 503 and the guarantee that it was not executed.
+  void refuseAsBusy() {
     world.call().head(503, {{"not-run", ""}});
     world.call().done();
   }
-  /// Runs one whole turn and lets its record be stored.
-  void wholeTurn(const std::string& requestId, const std::string& previous = "") {
+  /// Runs a turn to its end, including the storing of its record.
+  void completeTurn(const std::string& requestId, const std::string& previous = "") {
     CallRequest call = ExchangeWorld::turn("kept");
     call.requestId = requestId;
     call.previousTurn = previous;
@@ -67,7 +68,7 @@
   }
 };
 
-TEST(ExchangeStream, passesWholeEventsOnAsTheyCome) {
+TEST(ExchangeStream, forwardsOnlyCompleteEvents) {
   const auto client = world.start(ExchangeWorld::turn("again"));
   wait();
   world.beginEvents();
@@ -79,7 +80,7 @@
   CHECK_TRUE(client->whole);
 }
 
-TEST(ExchangeStream, releasesNoEventBeforeTheReservationStands) {
+TEST(ExchangeStream, releasesNoEventBeforeTheReservationIsGranted) {
   const auto client = world.start(ExchangeWorld::turn("again"));
   LONGS_EQUAL(1, world.dispatches());
   world.beginEvents();
@@ -102,7 +103,7 @@
   CHECK_TRUE(client->whole);
 }
 
-TEST(ExchangeStream, breaksOffAPersistedAnswerThatCannotBeStored) {
+TEST(ExchangeStream, abortsAPersistedAnswerThatCannotBeStored) {
   const auto client = world.start(ExchangeWorld::turn("kept"));
   wait();
   world.beginEvents();
@@ -114,9 +115,9 @@
   CHECK_TRUE(client->closed);
 }
 
-TEST(ExchangeStream, givesTheReplicaTheWholeChainBeforeTheNewInput) {
-  wholeTurn("t1");
-  wholeTurn("t2", "t1");
+TEST(ExchangeStream, sendsTheReplicaTheWholeHistoryBeforeTheNewInput) {
+  completeTurn("t1");
+  completeTurn("t2", "t1");
   CallRequest call = ExchangeWorld::turn("kept");
   call.requestId = "t3";
   call.previousTurn = "t2";
@@ -126,7 +127,7 @@
   STRCMP_EQUAL("inputa\ninputa\nnew", world.call().request.body.c_str());
 }
 
-TEST(ExchangeStream, says404OnlyForATurnThatTheLogDoesNotHold) {
+TEST(ExchangeStream, answers404OnlyForATurnThatTheLogDoesNotContain) {
   CallRequest call = ExchangeWorld::turn("kept");
   call.previousTurn = "never";
   const auto client = world.start(call);
@@ -135,7 +136,7 @@
   LONGS_EQUAL(0, world.dispatches());
 }
 
-TEST(ExchangeStream, says503ForAnyTurnWhileTheLogCannotBeRead) {
+TEST(ExchangeStream, answers503ForAnyTurnWhileTheLogCannotBeRead) {
   world.log.fault = FakeFault::Silent;
   CallRequest call = ExchangeWorld::turn("kept");
   call.previousTurn = "never";
@@ -145,7 +146,7 @@
   LONGS_EQUAL(0, world.dispatches());
 }
 
-TEST(ExchangeStream, says402WithoutADispatchWhenTheBudgetIsSpent) {
+TEST(ExchangeStream, answers402WithoutADispatchWhenTheBudgetIsSpent) {
   CallRequest call = ExchangeWorld::turn("again");
   call.tokenBudget = 100;
   const auto client = world.start(call);
@@ -154,8 +155,8 @@
   LONGS_EQUAL(0, world.dispatches());
 }
 
-TEST(ExchangeStream, doesNotPromiseNotRunWhenTheBudgetTurnsOutSpentAfterTheDispatch) {
-  // Another node has reserved most of the budget; this one has not read that yet.
+TEST(ExchangeStream, doesNotClaimNotExecutedIfTheBudgetIsSpentAfterTheDispatch) {
+  // Another node has reserved most of the budget, which this node has not read yet.
   logstore::PersistentStore otherStore(
       world.log, world.timers, [this] { return world.timers.now; }, {}, 2);
   ledger::ProgramLedger other(otherStore, world.timers, [this] { return world.timers.now; }, {});
@@ -169,7 +170,7 @@
   CHECK_TRUE(world.call().cancelled);
 }
 
-TEST(ExchangeStream, settlesWhatWasHandedOut) {
+TEST(ExchangeStream, settlesTheTokensThatWereReleased) {
   const auto client = world.start(ExchangeWorld::turn("again"));
   wait();
   world.beginEvents();
@@ -179,7 +180,7 @@
   LONGS_EQUAL(18, world.ledger.knownUse("program"));
 }
 
-TEST(ExchangeStream, refusesBeforeTheDispatchWhileTheStoreDoesNotAnswer) {
+TEST(ExchangeStream, refusesBeforeTheDispatchWhileTheStoreIsUnavailable) {
   world.log.fault = FakeFault::Busy;
   world.ledger.reserve({{"x", "program", 1}, 1000, {}}, seconds(3),
                        [](const ledger::ReservationReply&) {});
@@ -190,18 +191,18 @@
   LONGS_EQUAL(0, world.dispatches());
 }
 
-TEST(ExchangeStream, asksTheHomeAlthoughReservationsFailedAMomentAgo) {
-  DoubtfulLedger ledger({ledger::ReservationOutcome::Granted});
+TEST(ExchangeStream, triesAReservationEvenAfterRecentFailures) {
+  ScriptedLedger ledger({ledger::ReservationOutcome::Granted});
   EdgeContext context = contextWith(ledger);
   const auto client = startIn(context);
   LONGS_EQUAL(1, world.dispatches());
-  CHECK(ledger.longestWait <= context.knobs.unlikelyReservationLimit);
+  CHECK(ledger.reservationTimeout <= context.knobs.unlikelyReservationLimit);
   client->observer.onGone();
   client->observer = {};
 }
 
-TEST(ExchangeStream, dispatchesNothingWhereAReservationIsUnlikelyAndFails) {
-  DoubtfulLedger ledger({ledger::ReservationOutcome::Unavailable});
+TEST(ExchangeStream, dispatchesNothingIfAnUnlikelyReservationFails) {
+  ScriptedLedger ledger({ledger::ReservationOutcome::Unavailable});
   EdgeContext context = contextWith(ledger);
   const auto client = startIn(context);
   LONGS_EQUAL(503, client->status);
@@ -209,19 +210,19 @@
   LONGS_EQUAL(0, world.dispatches());
 }
 
-TEST(ExchangeStream, dispatchesNothingWhereAReservationIsDoubtfulAndFails) {
-  DoubtfulLedger ledger({ledger::ReservationOutcome::Unavailable},
+TEST(ExchangeStream, dispatchesNothingIfADoubtfulReservationFails) {
+  ScriptedLedger ledger({ledger::ReservationOutcome::Unavailable},
                         ledger::ReservationOutlook::Doubtful);
   EdgeContext context = contextWith(ledger);
   const auto client = startIn(context);
   LONGS_EQUAL(503, client->status);
   CHECK(!client->retryAfter.empty());
   LONGS_EQUAL(0, world.dispatches());
-  CHECK(ledger.longestWait <= context.knobs.doubtfulReservationLimit);
+  CHECK(ledger.reservationTimeout <= context.knobs.doubtfulReservationLimit);
 }
 
-TEST(ExchangeStream, aReservationThatFailsAfterTheDispatchIsAskedForOnceMore) {
-  DoubtfulLedger ledger(
+TEST(ExchangeStream, retriesAReservationThatFailsAfterTheDispatch) {
+  ScriptedLedger ledger(
       {ledger::ReservationOutcome::Unavailable, ledger::ReservationOutcome::Granted},
       ledger::ReservationOutlook::Likely);
   ledger.timers = &world.timers;
@@ -238,8 +239,8 @@
   CHECK_TRUE(client->whole);
 }
 
-TEST(ExchangeStream, aReservationThatFailsTwiceAfterTheDispatchEndsTheTurnWithAnUnknownOutcome) {
-  DoubtfulLedger ledger({ledger::ReservationOutcome::Unavailable},
+TEST(ExchangeStream, aReservationThatFailsTwiceAfterTheDispatchEndsTheTurnWithAnUnknownState) {
+  ScriptedLedger ledger({ledger::ReservationOutcome::Unavailable},
                         ledger::ReservationOutlook::Likely);
   ledger.timers = &world.timers;
   EdgeContext context = contextWith(ledger);
@@ -253,7 +254,7 @@
   CHECK_TRUE(world.call().cancelled);
 }
 
-TEST(ExchangeStream, resumesACutStreamWhereItRanWithoutLosingOrDoublingAnEvent) {
+TEST(ExchangeStream, resumesAStreamAtTheSameReplicaWithoutLostOrDuplicateEvents) {
   const auto client = world.start(ExchangeWorld::turn("again"));
   wait();
   const std::string replica = world.call().headerOf("expect");
@@ -270,7 +271,7 @@
   CHECK_TRUE(client->whole);
 }
 
-TEST(ExchangeStream, resumesAtAnotherReplicaWhenTheFirstHasEnded) {
+TEST(ExchangeStream, resumesAtAnotherReplicaWhenTheFirstIsUnreachable) {
   const auto client = world.start(ExchangeWorld::turn("again"));
   wait();
   const std::string replica = world.call().headerOf("expect");
@@ -278,27 +279,23 @@
   world.call().body(kFirst);
   world.call().fail(http::FailureStage::Broken);
   world.call().fail(http::FailureStage::NotSent);
-  world.answerCheck(false);
+  world.answerReachabilityCheck(false);
   LONGS_EQUAL(3, world.dispatches());
   CHECK(replica != world.call().headerOf("expect"));
   STRCMP_EQUAL("1", world.call().headerOf("after").c_str());
 }
 
-// The story: on a node whose link is full, every connection comes too late. After 400 ms without a
-// byte it tried to reach the replica, gave up after 250 ms, cut the run off and gave the request to
-// the next replica, where the same followed: a route that allows one replica, and a caller who pays
-// for three. In the day that showed it (grown bbmru-filing, trouble-1, seed 325293235481) the
-// second run was cut 652 ms after the first. A replica that takes no connection counts as gone only
-// where another one takes a connection at the same time.
-TEST(ExchangeStream, aNodeThatReachesNobodyCutsNoRunOff) {
+// Guards against runs at several replicas when this node's own link is saturated and every new
+// connection times out.
+TEST(ExchangeStream, doesNotAbandonARunIfTheWitnessIsUnreachableToo) {
   const auto client = world.start(ExchangeWorld::turn("again"));  // Its route allows one replica.
   wait();
   world.beginEvents();
   world.call().body(kFirst);
   for (std::size_t check = 1; check <= 3; ++check) {
     world.timers.advance(milliseconds(check == 1 ? 900 : 450));
-    LONGS_EQUAL(check, world.replicaChecks());
-    world.answerCheck(false, false);
+    LONGS_EQUAL(check, world.reachabilityChecks());
+    world.answerReachabilityCheck(false, false);
   }
   LONGS_EQUAL(1, world.dispatches());
   CHECK_FALSE(world.call().cancelled);
@@ -308,17 +305,17 @@
   CHECK_TRUE(client->whole);
 }
 
-// A full replica resets connections and lives on.
-TEST(ExchangeStream, replicasThatLiveAndTakeNoConnectionCount) {
-  const auto [client, replica] = breakAStream();  // Its route allows one replica.
+// Guards against a second run elsewhere while an overloaded replica only resets connections.
+TEST(ExchangeStream, reachableReplicasThatRefuseConnectionsStillCount) {
+  const auto [client, replica] = breakStream();  // Its route allows one replica.
   world.call().fail(http::FailureStage::NotSent);
   LONGS_EQUAL(2, world.dispatches());
-  world.answerCheck(true);
+  world.answerReachabilityCheck(true);
   world.timers.advance(world.context.knobs.fullTime);
   LONGS_EQUAL(3, world.dispatches());
   STRCMP_EQUAL(replica.c_str(), world.call().headerOf("expect").c_str());
   world.call().fail(http::FailureStage::NotSent);
-  world.answerCheck(false, false);
+  world.answerReachabilityCheck(false, false);
   world.timers.advance(world.context.knobs.fullTime);
   LONGS_EQUAL(4, world.dispatches());
   STRCMP_EQUAL(replica.c_str(), world.call().headerOf("expect").c_str());
@@ -329,33 +326,33 @@
   CHECK_TRUE(client->whole);
 }
 
-TEST(ExchangeStream, endsAStreamWhoseOnlyReplicaLivesAndTakesNoConnection) {
-  const auto [client, replica] = breakAStream();
+TEST(ExchangeStream, abortsAStreamWhoseReachableReplicaKeepsFailingConnections) {
+  const auto [client, replica] = breakStream();
   while (!client->closed) {
     STRCMP_EQUAL(replica.c_str(), world.call().headerOf("expect").c_str());
     CHECK(world.dispatches() <= 1 + world.context.knobs.maximumRefusedTries);
     world.call().fail(http::FailureStage::NotSent);
-    world.answerCheck(true);
+    world.answerReachabilityCheck(true);
     world.timers.advance(world.context.knobs.fullTime);
   }
   CHECK_FALSE(client->whole);
 }
 
-TEST(ExchangeStream, aClientThatLeavesDuringACheckLeavesNothingBehind) {
-  const auto [client, replica] = breakAStream();
+TEST(ExchangeStream, aClientThatDisconnectsDuringACheckLeaksNothing) {
+  const auto [client, replica] = breakStream();
   world.call().fail(http::FailureStage::NotSent);
   client->observer.onGone();
-  world.answerCheck(false);
+  world.answerReachabilityCheck(false);
   LONGS_EQUAL(2, world.dispatches());
   for (const routing::ReplicaPtr& left : world.replicas.all()) {
     LONGS_EQUAL(0, left->inFlight);
   }
 }
 
-// Streams that break at replicas which live on, while those are too full to resume them.
+// Guards against a run at a further replica while the first is too busy to resume the stream.
 TEST(ExchangeStream, runsOnNoMoreReplicasThanItsRouteAllows) {
-  const auto [client, replica] = breakAStream();  // Its route allows one replica.
-  refuseForWantOfRoom();
+  const auto [client, replica] = breakStream();  // Its route allows one replica.
+  refuseAsBusy();
   LONGS_EQUAL(2, world.dispatches());
   world.timers.advance(world.context.knobs.fullTime);
   LONGS_EQUAL(3, world.dispatches());
@@ -368,26 +365,26 @@
   CHECK_TRUE(client->whole);
 }
 
-TEST(ExchangeStream, endsAStreamWhoseOnlyReplicaHasNoRoomForIt) {
-  const auto [client, replica] = breakAStream();
+TEST(ExchangeStream, abortsAStreamWhoseOnlyReplicaStaysBusy) {
+  const auto [client, replica] = breakStream();
   while (!client->closed) {
     STRCMP_EQUAL(replica.c_str(), world.call().headerOf("expect").c_str());
     CHECK(world.dispatches() <= 1 + world.context.knobs.maximumRefusedTries);
-    refuseForWantOfRoom();
+    refuseAsBusy();
     world.timers.advance(world.context.knobs.fullTime);
   }
   CHECK_FALSE(client->whole);
 }
 
-TEST(ExchangeStream, goesOnElsewhereWhenAnotherReplicaHasTheAddressOfItsOwn) {
-  const std::string replica = breakAStream().replica;
+TEST(ExchangeStream, resumesElsewhereWhenADifferentReplicaUsesTheAddress) {
+  const std::string replica = breakStream().replica;
   world.call().head(421, {});
   world.call().done();
   LONGS_EQUAL(3, world.dispatches());
   CHECK(replica != world.call().headerOf("expect"));
 }
 
-TEST(ExchangeStream, goesOnElsewhereWhenASilentReplicaTakesNoConnection) {
+TEST(ExchangeStream, resumesElsewhereWhenASilentReplicaIsUnreachable) {
   const auto client = world.start(ExchangeWorld::turn("again"));
   wait();
   const std::string replica = world.call().headerOf("expect");
@@ -395,8 +392,8 @@
   world.call().body(kFirst);
   auto& silent = world.call();
   world.timers.advance(milliseconds(900));
-  LONGS_EQUAL(1, world.replicaChecks());
-  world.answerCheck(false);
+  LONGS_EQUAL(1, world.reachabilityChecks());
+  world.answerReachabilityCheck(false);
   CHECK_TRUE(silent.cancelled);
   LONGS_EQUAL(2, world.dispatches());
   CHECK(replica != world.call().headerOf("expect"));
@@ -407,18 +404,18 @@
   STRCMP_EQUAL((kFirst + kSecond).c_str(), client->body.c_str());
 }
 
-TEST(ExchangeStream, waitsForASilentReplicaThatTakesConnections) {
+TEST(ExchangeStream, waitsForASilentReplicaThatIsReachable) {
   world.start(ExchangeWorld::turn("again"));
   wait();
   world.timers.advance(milliseconds(500));
-  LONGS_EQUAL(1, world.replicaChecks());
-  world.answerCheck(true);
+  LONGS_EQUAL(1, world.reachabilityChecks());
+  world.answerReachabilityCheck(true);
   world.timers.advance(milliseconds(500));
-  LONGS_EQUAL(2, world.replicaChecks());
+  LONGS_EQUAL(2, world.reachabilityChecks());
   LONGS_EQUAL(1, world.dispatches());
 }
 
-TEST(ExchangeStream, doesNotAskAReplicaThatAnswersOthers) {
+TEST(ExchangeStream, doesNotCheckAReplicaThatAnswersOtherRequests) {
   world.start(ExchangeWorld::turn("again"));
   wait();
   for (int step = 0; step < 10; ++step) {
@@ -427,16 +424,16 @@
     }
     world.timers.advance(milliseconds(200));
   }
-  LONGS_EQUAL(0, world.replicaChecks());
+  LONGS_EQUAL(0, world.reachabilityChecks());
 }
 
-TEST(ExchangeStream, countsADispatchWithoutAnyAnswerAsFailedAfterASecond) {
+TEST(ExchangeStream, countsADispatchWithoutAnswerAsFailedAfterASecond) {
   world.start(ExchangeWorld::turn("kept"));
   wait();
   const auto failed = [this] {
     double sum = 0;
     for (const routing::ReplicaPtr& replica : world.replicas.all()) {
-      replica->heardAt = world.timers.now;  // It answers others meanwhile.
+      replica->heardAt = world.timers.now;  // It answers other requests.
       sum += replica->outcomes.failed(world.timers.now);
     }
     return sum;
@@ -453,16 +450,16 @@
   LONGS_EQUAL(1, world.dispatches());
 }
 
-TEST(ExchangeStream, givesAnUnsafeTurnUpAtOnceWhenItsReplicaIsGone) {
+TEST(ExchangeStream, failsAnUnsafeTurnAtOnceWhenItsReplicaIsUnreachable) {
   const auto client = world.start(ExchangeWorld::turn("kept"));
   wait();
   world.timers.advance(milliseconds(500));
-  world.answerCheck(false);
+  world.answerReachabilityCheck(false);
   LONGS_EQUAL(502, client->status);
   LONGS_EQUAL(1, world.dispatches());
 }
 
-TEST(ExchangeStream, breaksOffACutStreamThatMayNotBeResumed) {
+TEST(ExchangeStream, abortsAnInterruptedStreamThatMayNotBeResumed) {
   const auto client = world.start(ExchangeWorld::turn("kept"));
   wait();
   world.beginEvents();
@@ -473,8 +470,8 @@
   CHECK_TRUE(client->closed);
 }
 
-TEST(ExchangeStream, turnsFirstTurnsAwayFromFullReplicasBeforeLaterOnes) {
-  wholeTurn("t1");
+TEST(ExchangeStream, refusesFirstTurnsBeforeLaterOnesWhenReplicasAreBusy) {
+  completeTurn("t1");
   for (const routing::ReplicaPtr& replica : world.replicas.all()) {
     replica->othersInFlight = 6;  // Of 4 slots.
   }
--- a/tests/edge/exchange_tenant_test.cpp
+++ b/tests/edge/exchange_tenant_test.cpp
@@ -1,4 +1,5 @@
-// Requests of tenants: whose key, whose history, whose budget.
+// Guards against requests without a valid key, and against access to another tenant's turns, budget
+// or quota.
 #include "edge/exchange.h"
 
 #include <CppUTest/TestHarness.h>
@@ -33,7 +34,7 @@
     }
     return world.start(std::move(call));
   }
-  /// Plays a turn that a replica answers whole.
+  /// Runs a turn to its end.
   void answerTurn(const char* requestId, const char* key) {
     CallRequest call = ExchangeWorld::turn("kept");
     call.requestId = requestId;
@@ -47,13 +48,13 @@
   }
 };
 
-TEST(ExchangeTenant, refusesWhoeverHasNoKeyOrAnUnknownOne) {
+TEST(ExchangeTenant, refusesAMissingOrUnknownKey) {
   LONGS_EQUAL(401, start(ExchangeWorld::request("safe"), nullptr)->status);
   LONGS_EQUAL(401, start(ExchangeWorld::request("safe"), "made-up")->status);
   LONGS_EQUAL(0, world.dispatches());
 }
 
-TEST(ExchangeTenant, cannotTellWithAnOldConfiguration) {
+TEST(ExchangeTenant, answers503ForAnUnknownKeyWithAStaleConfiguration) {
   world.timers.advance(seconds(5));
   LONGS_EQUAL(503, start(ExchangeWorld::request("safe"), "made-up")->status);
   CHECK(!start(ExchangeWorld::request("safe"), "made-up")->retryAfter.empty());
@@ -62,7 +63,7 @@
   LONGS_EQUAL(1, world.dispatches());
 }
 
-TEST(ExchangeTenant, tellsTheReplicaTheTenantAndItsPriority) {
+TEST(ExchangeTenant, sendsTheReplicaTheTenantAndItsPriority) {
   start(ExchangeWorld::request("safe"), "alice-key");
   STRCMP_EQUAL("alice", world.call().headerOf("tenant").c_str());
   STRCMP_EQUAL("4", world.call().headerOf("priority").c_str());
@@ -77,7 +78,7 @@
   STRCMP_EQUAL("", world.call().headerOf("tenant").c_str());
 }
 
-TEST(ExchangeTenant, aDroppedKeyStopsWithItsConfiguration) {
+TEST(ExchangeTenant, aRemovedKeyIsRefusedWithTheNewConfiguration) {
   auto configuration = std::make_shared<routing::Configuration>(*world.routes.inForce());
   configuration->version = routing::ConfigurationVersion(3);
   auto made = tenant::TenantDirectory::make({tenant::Tenant{"alice", {}, {}, {}}});
@@ -87,7 +88,7 @@
   LONGS_EQUAL(401, start(ExchangeWorld::request("safe"), "alice-key")->status);
 }
 
-TEST(ExchangeTenant, anotherTenantsTurnIsAnsweredLikeOneThatNeverWas) {
+TEST(ExchangeTenant, anotherTenantsTurnIsAnsweredLikeANonexistentOne) {
   answerTurn("t1", "alice-key");
   const std::size_t before = world.dispatches();
   CallRequest theft = ExchangeWorld::turn("kept");
@@ -105,7 +106,7 @@
   LONGS_EQUAL(before, world.dispatches());
 }
 
-TEST(ExchangeTenant, itsOwnTurnGoesOn) {
+TEST(ExchangeTenant, aTenantContinuesItsOwnTurn) {
   answerTurn("t1", "alice-key");
   CallRequest next = ExchangeWorld::turn("kept");
   next.requestId = "t2";
@@ -128,14 +129,14 @@
   CHECK(other->status != 402);
 }
 
-TEST(ExchangeTenant, refusesHeadsThatTwoReadersCouldReadDifferently) {
+TEST(ExchangeTenant, refusesConflictingHeaders) {
   CallRequest call = ExchangeWorld::request("safe");
   call.hasConflictingHeaders = true;
   LONGS_EQUAL(400, start(call, "alice-key")->status);
   LONGS_EQUAL(0, world.dispatches());
 }
 
-TEST(ExchangeTenant, saysWhenToComeBackOverTheLimitAndSendsNothing) {
+TEST(ExchangeTenant, answers429WithRetryAfterOverTheQuota) {
   world.quota.decision = {quota::QuotaVerdict::OverLimit, milliseconds(700)};
   const auto client = start(ExchangeWorld::request("safe"), "alice-key");
   LONGS_EQUAL(429, client->status);
@@ -146,12 +147,12 @@
   LONGS_EQUAL(1, world.dispatches());
 }
 
-TEST(ExchangeTenant, refusesWithoutSayingOverLimitWhenNobodyKnows) {
+TEST(ExchangeTenant, answers503WhenTheQuotaIsUnknown) {
   world.quota.decision = {quota::QuotaVerdict::Unknown, milliseconds(200)};
   LONGS_EQUAL(503, start(ExchangeWorld::request("safe"), "alice-key")->status);
 }
 
-TEST(ExchangeTenant, tellsWhomTheTokenWasAskedOfWhenNobodyKnows) {
+TEST(ExchangeTenant, logsTheCoordinatorWhenTheQuotaIsUnknown) {
   world.quota.decision = {
       quota::QuotaVerdict::Unknown, milliseconds(200),
       quota::QuotaTrace{5, "c:1", "b:1", milliseconds(2400), true, milliseconds(700)}};
@@ -164,7 +165,7 @@
   STRCMP_CONTAINS("outcome=refused_503 reason=quota_unknown", world.lines.c_str());
 }
 
-TEST(ExchangeTenant, tellsTheQuotaWhetherAProgramBegins) {
+TEST(ExchangeTenant, reportsToTheQuotaWhetherAProgramBegins) {
   start(ExchangeWorld::turn("kept"), "alice-key");
   CallRequest later = ExchangeWorld::turn("kept");
   later.requestId = "q2";
@@ -177,7 +178,7 @@
   CHECK(world.quota.asked[2].second == quota::ProgramStage::Begun);
 }
 
-TEST(ExchangeTenant, givesATokenBackThatServedNobody) {
+TEST(ExchangeTenant, returnsAQuotaTokenThatWasNotUsed) {
   world.quota.holds = true;
   const auto client = start(ExchangeWorld::request("safe"), "alice-key");
   client->observer.onGone();
--- a/tests/edge/exchange_test.cpp
+++ b/tests/edge/exchange_test.cpp
@@ -1,4 +1,4 @@
-// The life of a request that is answered whole: what is passed on, refused, repeated and unknown.
+// Guards against wrong forwarding, refusal and retry of requests that are not streams.
 #include "edge/exchange.h"
 
 #include <CppUTest/TestHarness.h>
@@ -11,7 +11,7 @@
 
 TEST_GROUP(Exchange) { ExchangeWorld world; };
 
-TEST(Exchange, passesAnAnswerOnUnchanged) {
+TEST(Exchange, forwardsAResponseUnchanged) {
   const auto client = world.start(ExchangeWorld::request("safe"));
   world.call().head(207);
   world.call().body("bo");
@@ -23,7 +23,7 @@
   CHECK_TRUE(client->whole);
 }
 
-TEST(Exchange, knowsNoConfigurationAndSaysSoWithATimeToComeBack) {
+TEST(Exchange, answers503WithRetryAfterWithoutAConfiguration) {
   ExchangeWorld other;
   routing::RouteTable none;
   EdgeContext context{other.wire,
@@ -48,13 +48,13 @@
   CHECK(!client->retryAfter.empty());
 }
 
-TEST(Exchange, says404OnlyWithAFreshConfiguration) {
+TEST(Exchange, answers404OnlyWithAFreshConfiguration) {
   LONGS_EQUAL(404, world.start(ExchangeWorld::request("nowhere"))->status);
   world.timers.advance(seconds(5));
   LONGS_EQUAL(503, world.start(ExchangeWorld::request("nowhere"))->status);
 }
 
-TEST(Exchange, givesTheReplicaTheTimeThatIsLeft) {
+TEST(Exchange, sendsTheReplicaTheRemainingTime) {
   CallRequest call = ExchangeWorld::request("safe");
   call.deadline = milliseconds(900);
   world.start(call);
@@ -64,7 +64,7 @@
   STRCMP_EQUAL("600", world.call().headerOf("left").c_str());
 }
 
-TEST(Exchange, asksAnotherReplicaAfterAPromiseOfNotRun) {
+TEST(Exchange, triesAnotherReplicaAfterNotExecuted) {
   const auto client = world.start(ExchangeWorld::request("unsafe"));
   const std::string first = world.call().headerOf("expect");
   world.call().head(503, {{"not-run", "1"}});
@@ -76,7 +76,7 @@
   LONGS_EQUAL(200, client->status);
 }
 
-TEST(Exchange, refusesWithATimeToComeBackWhenAllReplicasRefuse) {
+TEST(Exchange, refusesWithRetryAfterWhenAllReplicasRefuse) {
   const auto client = world.start(ExchangeWorld::request("unsafe"));
   for (int replica = 0; replica < 3; ++replica) {
     world.call().head(503, {{"not-run", "1"}});
@@ -87,8 +87,8 @@
   LONGS_EQUAL(3, world.dispatches());
 }
 
-// Engines would refuse it as if they were full, one after the other.
-TEST(Exchange, refusesAtOnceWhatNoEnginesMemoryHolds) {
+// Guards against attempts at several engines that would all refuse the request as if busy.
+TEST(Exchange, refusesARequestThatExceedsTheEngineMemory) {
   CallRequest call = ExchangeWorld::turn("again");
   call.promptTokens = 5000 - call.maximumTokens + 1;
   const auto refused = world.start(call);
@@ -96,12 +96,12 @@
   STRCMP_EQUAL("request_exceeds_engine_memory", refused->body.c_str());
   CHECK(refused->retryAfter.empty());
   LONGS_EQUAL(0, world.dispatches());
-  call.promptTokens = UINT64_MAX;  // No sum that overflows lets it pass.
+  call.promptTokens = UINT64_MAX;  // The sum of the tokens must not overflow.
   STRCMP_EQUAL("request_exceeds_engine_memory", world.start(call)->body.c_str());
   LONGS_EQUAL(0, world.dispatches());
 }
 
-TEST(Exchange, sendsWhatJustFitsAnEnginesMemory) {
+TEST(Exchange, dispatchesARequestThatJustFitsTheEngineMemory) {
   CallRequest call = ExchangeWorld::turn("again");
   call.promptTokens = 5000 - call.maximumTokens;
   world.start(call);
@@ -109,8 +109,8 @@
   LONGS_EQUAL(1, world.dispatches());
 }
 
-// The capacity may have been raised since: whoever reads no configuration leaves it to the engine.
-TEST(Exchange, leavesTheSizeToTheEngineWhenItsConfigurationMayBeOld) {
+// Guards against a refusal by a capacity that a newer configuration may have raised.
+TEST(Exchange, skipsTheSizeCheckWithAStaleConfiguration) {
   world.context.freshness.configurationHeardAt =
       world.timers.now - world.context.knobs.configurationTrust - milliseconds(1);
   CallRequest call = ExchangeWorld::turn("again");
@@ -120,14 +120,14 @@
   LONGS_EQUAL(1, world.dispatches());
 }
 
-TEST(Exchange, neverSendsAnUnsafeRequestAgainOnceItMayHaveRun) {
+TEST(Exchange, neverRetriesAnUnsafeRequestThatMayHaveRun) {
   const auto client = world.start(ExchangeWorld::request("unsafe"));
   world.call().fail(http::FailureStage::Broken);
   LONGS_EQUAL(1, world.dispatches());
   LONGS_EQUAL(502, client->status);
 }
 
-TEST(Exchange, sendsAnUnsafeRequestElsewhereWhenNoByteLeft) {
+TEST(Exchange, retriesAnUnsafeRequestThatWasNotSent) {
   const auto client = world.start(ExchangeWorld::request("unsafe"));
   world.call().fail(http::FailureStage::NotSent);
   LONGS_EQUAL(2, world.dispatches());
@@ -136,8 +136,8 @@
   LONGS_EQUAL(200, client->status);
 }
 
-// Only the replica's own word makes these statuses true: the caller would send the request again.
-TEST(Exchange, passesNoPromiseOnThatTheReplicaDidNotMake) {
+// Guards against a status that lets the client retry although the request may have run.
+TEST(Exchange, replacesAStatusThatWronglyImpliesNotExecuted) {
   for (const unsigned status : {402U, 408U, 429U, 503U}) {
     const auto client = world.start(ExchangeWorld::request("unsafe"));
     world.call().head(status);
@@ -147,7 +147,7 @@
   }
 }
 
-TEST(Exchange, neverPromisesNotRunAfterABrokenConnection) {
+TEST(Exchange, neverClaimsNotExecutedAfterABrokenConnection) {
   const auto client = world.start(ExchangeWorld::request("safe"));
   world.call().fail(http::FailureStage::Broken);
   for (int replica = 0; replica < 2; ++replica) {
@@ -166,7 +166,7 @@
   LONGS_EQUAL(502, client->status);
 }
 
-TEST(Exchange, passesTheLastFailureOfASafeRequestOn) {
+TEST(Exchange, forwardsTheLastFailureOfASafeRequest) {
   const auto client = world.start(ExchangeWorld::request("safe"));
   world.call().head(500);
   world.call().done();
@@ -177,7 +177,7 @@
   STRCMP_EQUAL("why", client->body.c_str());
 }
 
-TEST(Exchange, givesUpAtTheDeadlineWithAFinalAnswerAndStopsTheReplica) {
+TEST(Exchange, answersAtTheDeadlineAndCancelsTheDispatch) {
   CallRequest call = ExchangeWorld::request("unsafe");
   call.deadline = milliseconds(500);
   const auto client = world.start(call);
@@ -186,20 +186,20 @@
   CHECK_TRUE(world.call().cancelled);
 }
 
-TEST(Exchange, stopsTheReplicaWhenTheClientHasGone) {
+TEST(Exchange, cancelsTheDispatchWhenTheClientDisconnects) {
   const auto client = world.start(ExchangeWorld::request("unsafe"));
   client->observer.onGone();
   CHECK_TRUE(world.call().cancelled);
 }
 
-TEST(Exchange, takesNoAnswerToAnotherRequest) {
+TEST(Exchange, rejectsAResponseToAnotherRequest) {
   world.start(ExchangeWorld::request("unsafe"));
   CHECK_FALSE(world.call().handler.isOwn(200, {{"id", "another"}}));
   CHECK_TRUE(world.call().handler.isOwn(200, {{"id", "q1"}}));
   CHECK_TRUE(world.call().handler.isOwn(503, {}));
 }
 
-TEST(Exchange, sendsNothingToALeavingReplica) {
+TEST(Exchange, sendsNothingToADrainingReplica) {
   for (const routing::ReplicaPtr& replica : world.replicas.all()) {
     replica->entry.draining = replica->entry.id != "r2";
   }
@@ -207,14 +207,14 @@
   STRCMP_EQUAL("r2", world.call().headerOf("expect").c_str());
 }
 
-TEST(Exchange, refusesAtOnceInTheLastPartOfAStop) {
+TEST(Exchange, refusesRequestsInTheLastPhaseOfAStop) {
   world.context.takesRequests = false;
   const auto client = world.start(ExchangeWorld::request("unsafe"));
   LONGS_EQUAL(503, client->status);
   LONGS_EQUAL(0, world.dispatches());
 }
 
-TEST(Exchange, everyEndThatFailedHasALineWithItsReason) {
+TEST(Exchange, logsEveryFailedRequestWithItsReason) {
   world.start(ExchangeWorld::request("unsafe"));
   world.call().fail(http::FailureStage::Broken);
   world.eventLog.flush();
@@ -225,16 +225,16 @@
       world.metrics.render({}).c_str());
 }
 
-TEST(Exchange, aDispatchTellsByWhatItsReplicaGetsIt) {
+TEST(Exchange, logsThePlacementGrantOfADispatch) {
   world.start(ExchangeWorld::request("safe"));
   world.eventLog.flush();
   STRCMP_CONTAINS("event=dispatch request=q1", world.lines.c_str());
   STRCMP_CONTAINS("granted_as=usual", world.lines.c_str());
 }
 
-// All replicas are busy, and the one that holds the prompt is full: some of a program's tries are
-// refused, which tells what was judged, and one is placed at another replica.
-TEST(Exchange, aProgramWhoseReplicaIsFullIsPlacedAtOneOfItsTries) {
+// Guards against a program that is refused forever because its preferred replica is full: one of
+// its attempts must be placed elsewhere.
+TEST(Exchange, placesAProgramElsewhereWhenItsReplicaIsFull) {
   CallRequest turn = ExchangeWorld::turn("again");
   turn.previousTurn = "q0";
   turn.promptTokens = 4500;
--- a/tests/edge/exchange_world.h
+++ b/tests/edge/exchange_world.h
@@ -1,4 +1,4 @@
-/// \file Everything an exchange needs, with replicas, clients, store and time played by the test.
+/// \file Test fixture of `Exchange` with fake replicas, clients, store and clock.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
 
 namespace gorsetrail::edge::testing {
 
-/// Formats of a made-up wire: names of headers as short as can be.
+/// Minimal wire format with short header names.
 class FakeWire final : public WireAdapter {
  public:
   CallRequest readRequest(http::ServerRequest /*request*/) const override { return {}; }
@@ -64,7 +64,7 @@
   }
 };
 
-/// Decides as the test says, at once or later.
+/// Returns the decision set by the test, at once or when the test calls `waiting`.
 class FakeQuota final : public quota::QuotaAdmission {
  public:
   void admit(const tenant::Tenant& tenant, quota::ProgramStage stage, Callback callback) override {
@@ -84,13 +84,13 @@
   std::vector<std::string> givenBack;
 };
 
-/// What the client saw.
+/// Response as received by the client.
 struct ClientView {
-  unsigned status = 0;  ///< 0: nothing yet.
+  unsigned status = 0;  ///< 0: no response yet.
   std::string body;
   std::string retryAfter;
-  bool whole = false;   ///< The answer came to its end.
-  bool closed = false;  ///< The connection closed before that.
+  bool whole = false;   ///< The response is complete.
+  bool closed = false;  ///< The connection was closed before the response was complete.
   http::ResponseObserver observer;
 };
 
@@ -121,7 +121,7 @@
   std::shared_ptr<ClientView> view_;
 };
 
-/// One node with three replicas `r1` to `r3` of a model service and routes:
+/// One node with three replicas `r1` to `r3` of a model service and the routes
 /// /safe/ (two attempts), /unsafe/, /kept/ (persisted stream), /again/ (resumable stream).
 struct ExchangeWorld {
   ExchangeWorld() {
@@ -149,7 +149,7 @@
     context.freshness.configurationHeardAt = timers.now;
   }
 
-  /// Exchanges that a test leaves unfinished are held by what they wait for.
+  /// Clears the observers, which otherwise keep unfinished exchanges alive.
   ~ExchangeWorld() {
     for (const auto& view : views) {
       view->observer = {};
@@ -158,7 +158,7 @@
   ExchangeWorld(const ExchangeWorld&) = delete;
   ExchangeWorld& operator=(const ExchangeWorld&) = delete;
 
-  /// The world's parts with another ledger.
+  /// \return the fixture's context with another ledger.
   EdgeContext contextWith(ledger::Ledger& otherLedger) {
     return {wire,          routes,   placement, otherLedger, quota, client, timers,
             context.clock, eventLog, metrics,   {},          {},    {},     true};
@@ -206,17 +206,18 @@
   node::testing::FakeHttpClient::Exchange& call() { return client.last(); }
   std::size_t dispatches() const { return client.exchanges.size(); }
   void beginEvents() { call().head(200, {{"events", ""}}); }
-  /// Answers the check of the replica and that of its witness, which are always made together.
-  void answerCheck(bool replicaTakesConnections, bool witnessTakesConnections = true) {
-    const std::size_t first = client.checks.size() - kConnectionsOfCheck;
-    client.checks[first].second(witnessTakesConnections);
-    for (std::size_t number = 1; number < kConnectionsOfCheck; ++number) {
-      client.checks[first + number].second(replicaTakesConnections);
+  /// Completes the last reachability check: the witness's connection and the replica's.
+  void answerReachabilityCheck(bool replicaReachable, bool witnessReachable = true) {
+    const std::size_t first = client.checks.size() - kConnectionsPerCheck;
+    client.checks[first].second(witnessReachable);
+    for (std::size_t number = 1; number < kConnectionsPerCheck; ++number) {
+      client.checks[first + number].second(replicaReachable);
     }
   }
-  /// \return how often a replica was checked.
-  std::size_t replicaChecks() const { return client.checks.size() / kConnectionsOfCheck; }
-  static constexpr std::size_t kConnectionsOfCheck = 3;  ///< The witness first.
+  /// \return the number of reachability checks so far.
+  std::size_t reachabilityChecks() const { return client.checks.size() / kConnectionsPerCheck; }
+  static constexpr std::size_t kConnectionsPerCheck =
+      3;  ///< The witness's connection is the first.
 
   std::vector<std::shared_ptr<ClientView>> views;
   logstore::FakeTimers timers;
--- a/tests/edge/reach_check_test.cpp
+++ b/tests/edge/reach_check_test.cpp
@@ -1,4 +1,4 @@
-// What connections to a replica and to a witness show of the replica.
+// Guards against a replica reported as unreachable because of this node's own network fault.
 #include "edge/reach_check.h"
 
 #include <optional>
@@ -30,7 +30,7 @@
   }
 };
 
-TEST(ReachabilityCheck, aReplicaThatTakesAConnectionIsReachedWhateverTheWitness) {
+TEST(ReachabilityCheck, aReplicaThatAcceptsAConnectionIsReachableWhateverTheWitness) {
   check();
   answer("replica", true);
   CHECK(found == Reachability::Reachable);
@@ -38,7 +38,7 @@
   LONGS_EQUAL(1, times);
 }
 
-TEST(ReachabilityCheck, oneThatTakesNoneIsOutOfReachWhereTheWitnessIsReached) {
+TEST(ReachabilityCheck, aReplicaIsUnreachableIfOnlyTheWitnessAcceptsAConnection) {
   check();
   answer("replica", false);
   CHECK_FALSE(found.has_value());
@@ -46,7 +46,7 @@
   CHECK(found == Reachability::Unreachable);
 }
 
-TEST(ReachabilityCheck, theOrderOfTheAnswersDoesNotMatter) {
+TEST(ReachabilityCheck, theOrderOfTheResultsDoesNotMatter) {
   check();
   answer("witness", true);
   CHECK_FALSE(found.has_value());
@@ -54,7 +54,7 @@
   CHECK(found == Reachability::Unreachable);
 }
 
-TEST(ReachabilityCheck, whereNobodyIsReachedNothingIsKnown) {
+TEST(ReachabilityCheck, theResultIsUnknownIfTheWitnessIsUnreachableToo) {
   check();
   answer("witness", false);
   answer("replica", false);
@@ -62,15 +62,15 @@
   LONGS_EQUAL(1, times);
 }
 
-TEST(ReachabilityCheck, withoutAWitnessTheReplicaDecides) {
+TEST(ReachabilityCheck, withoutAWitnessOnlyTheReplicaCounts) {
   check("");
   LONGS_EQUAL(2, client.checks.size());
   answer("replica", false);
   CHECK(found == Reachability::Unreachable);
 }
 
-// A packet of one of them was lost.
-TEST(ReachabilityCheck, oneOfTheReplicasConnectionsIsEnough) {
+// Guards against a false result when one connection loses a packet.
+TEST(ReachabilityCheck, oneSuccessfulConnectionToTheReplicaIsEnough) {
   check();
   client.checks[0].second(true);   // The witness.
   client.checks[1].second(false);  // The replica.
--- a/tests/edge/recovery_policy_test.cpp
+++ b/tests/edge/recovery_policy_test.cpp
@@ -1,4 +1,4 @@
-// What follows when a replica did not serve a request, case by case.
+// Guards against duplicate execution and against a wrong claim that a request was not executed.
 #include "edge/recovery_policy.h"
 
 #include <CppUTest/TestHarness.h>
@@ -7,7 +7,7 @@
 
 namespace {
 
-FailedDispatch failedThere(bool mayRerun) {
+FailedDispatch interruptedRun(bool mayRerun) {
   FailedDispatch failed;
   failed.mayHaveRunThere = true;
   failed.mayHaveRun = true;
@@ -20,12 +20,12 @@
 
 TEST_GROUP(RecoveryPolicy){};
 
-TEST(RecoveryPolicy, runsAgainOnlyWhatMayBeRepeated) {
-  CHECK(RecoveryStep::Rerun == nextStep(failedThere(true)));
-  CHECK(RecoveryStep::FailWithUnknownState == nextStep(failedThere(false)));
+TEST(RecoveryPolicy, rerunsOnlyRequestsThatMayBeRepeated) {
+  CHECK(RecoveryStep::Rerun == nextStep(interruptedRun(true)));
+  CHECK(RecoveryStep::FailWithUnknownState == nextStep(interruptedRun(false)));
 }
 
-TEST(RecoveryPolicy, asksAnotherReplicaWhereItHasNotRun) {
+TEST(RecoveryPolicy, triesAnotherReplicaIfTheRequestHasNotRun) {
   FailedDispatch refused;
   refused.mayTryAnotherReplica = true;
   CHECK(RecoveryStep::TryAnotherReplica == nextStep(refused));
@@ -33,19 +33,19 @@
   CHECK(RecoveryStep::Refuse == nextStep(refused));
 }
 
-TEST(RecoveryPolicy, neverPromisesNotRunAfterAnEarlierRun) {
+TEST(RecoveryPolicy, neverRefusesAfterAnEarlierRun) {
   FailedDispatch refusedAfterARun;
   refusedAfterARun.mayHaveRun = true;
   CHECK(RecoveryStep::FailWithUnknownState == nextStep(refusedAfterARun));
 }
 
-TEST(RecoveryPolicy, breaksOffWhatTheClientHasPartOf) {
-  FailedDispatch cut = failedThere(false);
+TEST(RecoveryPolicy, abortsAStreamThatTheClientHasPartOf) {
+  FailedDispatch cut = interruptedRun(false);
   cut.streamBegun = true;
   CHECK(RecoveryStep::AbortStream == nextStep(cut));
 }
 
-TEST(RecoveryPolicy, asksAFullReplicaAgainOnlyWhereNoOtherMayRunIt) {
+TEST(RecoveryPolicy, retriesABusyReplicaOnlyIfNoOtherIsAllowed) {
   FailedDispatch refused;
   refused.mayHaveRun = true;
   refused.mayRetrySameReplica = true;
@@ -54,7 +54,7 @@
   CHECK(RecoveryStep::TryAnotherReplica == nextStep(refused));
 }
 
-TEST(RecoveryPolicy, promisesNotRunOnlyWhereNoReplicaMayRunIt) {
+TEST(RecoveryPolicy, impliesNotExecutedOnlyIfNoReplicaMayHaveRunIt) {
   for (const unsigned status : {402U, 408U, 421U, 429U, 503U}) {
     LONGS_EQUAL(status, statusConsistentWith(status, ExecutionState::NotSent));
     LONGS_EQUAL(status, statusConsistentWith(status, ExecutionState::NotExecuted));
@@ -62,7 +62,7 @@
   }
 }
 
-TEST(RecoveryPolicy, statusesThatPromiseNothingStayAsTheyAre) {
+TEST(RecoveryPolicy, leavesStatusesThatMakeNoClaimUnchanged) {
   for (const unsigned status : {200U, 400U, 404U, 500U, 502U, 504U}) {
     LONGS_EQUAL(status, statusConsistentWith(status, ExecutionState::Unknown));
   }
--- a/tests/edge/replica_runs_test.cpp
+++ b/tests/edge/replica_runs_test.cpp
@@ -1,4 +1,4 @@
-// How many replicas a request may run on.
+// Guards against a request that runs at more replicas than its route allows.
 #include "edge/replica_runs.h"
 
 #include <CppUTest/TestHarness.h>
@@ -13,7 +13,7 @@
   routing::ReplicaPtr second = std::make_shared<routing::Replica>();
 };
 
-TEST(ReplicaRuns, allowsAsManyReplicasAsTheRoute) {
+TEST(ReplicaRuns, allowsAsManyReplicasAsTheRouteDoes) {
   CHECK_TRUE(runs.mayRunOnAnotherReplica(1));
   runs.recordRun(first, now);
   CHECK_FALSE(runs.mayRunOnAnotherReplica(1));
@@ -22,13 +22,13 @@
   CHECK_FALSE(runs.mayRunOnAnotherReplica(2));
 }
 
-TEST(ReplicaRuns, countsAReplicaOnceHoweverOftenAStreamGoesOnThere) {
+TEST(ReplicaRuns, countsAReplicaOnceWhenAStreamIsResumedThere) {
   runs.recordRun(first, now);
   runs.recordRun(first, now);
   CHECK_TRUE(runs.mayRunOnAnotherReplica(2));
 }
 
-TEST(ReplicaRuns, doesNotCountWhereTheRunIsOver) {
+TEST(ReplicaRuns, doesNotCountUnreachableReplicas) {
   runs.recordRun(first, now);
   runs.recordUnreachable(first);
   CHECK_TRUE(runs.mayRunOnAnotherReplica(1));
@@ -36,20 +36,20 @@
   CHECK_TRUE(runs.mayRunOnAnotherReplica(1));
 }
 
-TEST(ReplicaRuns, countsAReplicaAgainThatTookTheRequestOnceMore) {
+TEST(ReplicaRuns, countsAReplicaAgainAfterAFurtherRun) {
   runs.recordRun(first, now);
   runs.recordUnreachable(first);
   runs.recordRun(first, now);
   CHECK_FALSE(runs.mayRunOnAnotherReplica(1));
 }
 
-TEST(ReplicaRuns, doesNotCountARunThatEndedWithItsReplicasProcess) {
+TEST(ReplicaRuns, doesNotCountARunThatEndedWithTheReplicasProcess) {
   runs.recordRun(first, now);
   first->lifeEnd = routing::LifeEnd{now + seconds(1), second};
   CHECK_TRUE(runs.mayRunOnAnotherReplica(1));
 }
 
-TEST(ReplicaRuns, countsARunThatReachedTheNewProcessBeforeItWasKnown) {
+TEST(ReplicaRuns, countsARunAtANewIncarnationThatWasNotYetKnown) {
   runs.recordRun(first, now);
   first->lifeEnd = routing::LifeEnd{now - seconds(1), second};
   CHECK_FALSE(runs.mayRunOnAnotherReplica(1));
@@ -57,7 +57,7 @@
   CHECK_TRUE(runs.mayRunOnAnotherReplica(1));
 }
 
-TEST(ReplicaRuns, tellsWhereARunStillCounts) {
+TEST(ReplicaRuns, reportsWhereARunMayStillBeInProgress) {
   CHECK_FALSE(runs.mayStillBeRunningAt(first));
   runs.recordRun(first, now);
   CHECK_TRUE(runs.mayStillBeRunningAt(first));
--- a/tests/edge/stream_progress_test.cpp
+++ b/tests/edge/stream_progress_test.cpp
@@ -1,4 +1,4 @@
-// Events of a stream over several replicas: held, released, recorded.
+// Guards against lost, partial or wrongly counted events of a stream that spans several dispatches.
 #include "edge/stream_progress.h"
 
 #include <CppUTest/TestHarness.h>
@@ -7,7 +7,7 @@
 
 TEST_GROUP(StreamProgress) { StreamProgress progress{"4"}; };
 
-TEST(StreamProgress, countsEventsAsReleasedOnlyWhenTheyAreTaken) {
+TEST(StreamProgress, countsEventsOnlyWhenTheyAreReleased) {
   CHECK_TRUE(progress.receive("id: 5\ndata: a\n\n"));
   CHECK_TRUE(progress.hasOutput());
   LONGS_EQUAL(0, progress.eventsReleased());
@@ -16,7 +16,7 @@
   CHECK_FALSE(progress.hasOutput());
 }
 
-TEST(StreamProgress, dropsAPieceOfAnEventWhenAnotherRunBegins) {
+TEST(StreamProgress, dropsAPartialEventWhenAnotherRunBegins) {
   CHECK_FALSE(progress.receive("id: 5\nda"));
   CHECK_TRUE(progress.hasPartialEvent());
   STRCMP_EQUAL("4", progress.lastEventId().c_str());
--- a/tests/edge/turn_retention_policy_test.cpp
+++ b/tests/edge/turn_retention_policy_test.cpp
@@ -1,5 +1,5 @@
-// Whether persisted turns run while their records cannot be stored, case by case and against the
-// load that the policy answers: an outage of some seconds in the middle of programs.
+// Guards against programs that fail in a store outage of a few seconds, and against held turns
+// without a limit on time or memory.
 #include "edge/turn_retention_policy.h"
 
 #include <algorithm>
@@ -15,103 +15,104 @@
 constexpr Duration kDeadline = milliseconds(4000);
 constexpr std::size_t kTurnBytes = 20000;
 
-TurnRetentionKnobs refusing() {
+TurnRetentionKnobs withoutHolds() {
   TurnRetentionKnobs knobs;
   knobs.holdsEnds = false;
   return knobs;
 }
 
-/// The store's way through one outage.
+/// Time range in which the store is unavailable.
 struct Outage {
   Duration begin;
   Duration end;
   [[nodiscard]] bool covers(Duration at) const { return at >= begin && at < end; }
 };
 
-/// What came of the programs of a replay.
-struct ReplayResult {
-  int inTime = 0;   ///< Within the programs' aim.
-  int late = 0;     ///< Within twice the aim.
-  int lost = 0;     ///< Later than that, or a turn failed three times.
-  int runs = 0;     ///< Turns that engines ran.
-  int wasted = 0;   ///< Runs whose end was broken off.
-  int refused = 0;  ///< Tries that were refused.
+/// Counts of one simulation.
+struct SimulationResult {
+  int inTime = 0;   ///< Programs finished within the target time.
+  int late = 0;     ///< Programs finished within twice the target time.
+  int lost = 0;     ///< Programs that took longer, or failed a turn three times.
+  int runs = 0;     ///< Turns run by engines.
+  int wasted = 0;   ///< Runs whose stream was aborted.
+  int refused = 0;  ///< Refused attempts.
 };
 
-/// One program after the other begins every 40 ms, each a line of turns. Clients behave as the
-/// deployments' clients do: a turn is sent three times with a pause of 0.25 s between, each send
-/// with one retry after a refusal, which waits for the time to come back up to a third of the time
-/// that is left. Engines are never full, so the outage alone decides.
-class OutageReplay {
+/// Simulates a program of several turns that starts every 40 ms. A client sends a turn up to three
+/// times with pauses of 0.25 s; each send retries once after a refusal, with a wait of at most a
+/// third of the remaining time. Engines have unlimited capacity.
+class OutageSimulation {
  public:
-  OutageReplay(const TurnRetentionKnobs& knobs, Outage outage) : policy_(knobs), outage_(outage) {}
+  OutageSimulation(const TurnRetentionKnobs& knobs, Outage outage)
+      : policy_(knobs), outage_(outage) {}
 
-  ReplayResult play() {
+  SimulationResult play() {
     constexpr Duration kLastStart = seconds(30);
-    constexpr Duration kBetweenPrograms = milliseconds(40);
-    for (Duration start{}; start < kLastStart; start += kBetweenPrograms) {
-      playProgram(start);
+    constexpr Duration kProgramInterval = milliseconds(40);
+    for (Duration start{}; start < kLastStart; start += kProgramInterval) {
+      simulateProgram(start);
     }
     return result_;
   }
 
  private:
   static constexpr int kTurns = 9;
-  static constexpr Duration kRun = milliseconds(200);
-  static constexpr Duration kBetweenTurns = milliseconds(150);
-  static constexpr Duration kSilenceLimit = seconds(2);
-  /// The node notices the store's return a little later.
-  static constexpr Duration kNoticed = milliseconds(300);
-  static constexpr Duration kStore = milliseconds(10);
-
-  void playProgram(Duration start) {
-    const Duration idle = kTurns * (kRun + kBetweenTurns + kStore);
-    const Duration aim = idle * 16 / 10 + milliseconds(250);
+  static constexpr Duration kRunTime = milliseconds(200);
+  static constexpr Duration kPauseBetweenTurns = milliseconds(150);
+  static constexpr Duration kClientSilenceTimeout = seconds(2);
+  /// Delay until the node detects that the store has recovered.
+  static constexpr Duration kRecoveryDetectionDelay = milliseconds(300);
+  static constexpr Duration kStoreLatency = milliseconds(10);
+
+  void simulateProgram(Duration start) {
+    const Duration unloadedTime = kTurns * (kRunTime + kPauseBetweenTurns + kStoreLatency);
+    const Duration targetTime = unloadedTime * 16 / 10 + milliseconds(250);
     Duration now = start;
     for (int turn = 0; turn < kTurns; ++turn) {
-      if (!playTurn(now)) {
+      if (!simulateTurn(now)) {
         ++result_.lost;
         return;
       }
-      now += kBetweenTurns;
+      now += kPauseBetweenTurns;
     }
     const Duration took = now - start;
-    ++(took <= aim ? result_.inTime : took <= 2 * aim ? result_.late : result_.lost);
+    ++(took <= targetTime ? result_.inTime : took <= 2 * targetTime ? result_.late : result_.lost);
   }
 
-  /// Moves `now` to the turn's end. \return whether the turn ended well.
-  bool playTurn(Duration& now) {
+  /// Advances `now` to the end of the turn. \return whether the turn succeeded.
+  bool simulateTurn(Duration& now) {
     constexpr int kSends = 3;
     for (int send = 0; send < kSends; ++send) {
       now += send == 0 ? Duration::zero() : milliseconds(250);
-      if (playSend(now)) {
+      if (simulateSend(now)) {
         return true;
       }
     }
     return false;
   }
 
-  bool playSend(Duration& now) {
+  bool simulateSend(Duration& now) {
     constexpr int kTries = 2;
     const Duration deadline = now + kDeadline;
     for (int attempt = 0; attempt < kTries; ++attempt) {
-      const bool answers = !outage_.covers(now) && !outage_.covers(now - kNoticed);
+      const bool answers = !outage_.covers(now) && !outage_.covers(now - kRecoveryDetectionDelay);
       const auto decision = policy_.decide(answers, kTurnBytes, deadline - now);
       if (const auto* const refused = std::get_if<TurnRefused>(&decision)) {
         ++result_.refused;
         now += std::min(refused->retryAfter, (deadline - now) / 3);
         continue;
       }
-      return playRun(now, deadline);
+      return simulateRun(now, deadline);
     }
     return false;
   }
 
-  bool playRun(Duration& now, Duration deadline) {
+  bool simulateRun(Duration& now, Duration deadline) {
     ++result_.runs;
-    now += kRun;
-    const Duration storedAt = outage_.covers(now) ? outage_.end + kNoticed : now + kStore;
-    const Duration hold = std::min(policy_.holdLimit(deadline - now), kSilenceLimit);
+    now += kRunTime;
+    const Duration storedAt =
+        outage_.covers(now) ? outage_.end + kRecoveryDetectionDelay : now + kStoreLatency;
+    const Duration hold = std::min(policy_.holdLimit(deadline - now), kClientSilenceTimeout);
     policy_.onHoldStarted();
     const bool stored = storedAt <= now + hold;
     policy_.onHoldEnded(stored, std::min(storedAt - now, hold));
@@ -122,7 +123,7 @@
 
   TurnRetentionPolicy policy_;
   Outage outage_;
-  ReplayResult result_;
+  SimulationResult result_;
 };
 
 const TurnRefused* refusalOf(const RetentionDecision& decision) {
@@ -133,16 +134,16 @@
 
 TEST_GROUP(TurnRetentionPolicy) { TurnRetentionPolicy policy; };
 
-TEST(TurnRetentionPolicy, runsEveryTurnWhileTheStoreAnswers) {
+TEST(TurnRetentionPolicy, admitsEveryTurnWhileTheStoreIsAvailable) {
   policy.onTurnStarted(true, TurnRetentionKnobs{}.mostBytes);
   CHECK(refusalOf(policy.decide(true, kTurnBytes, milliseconds(1))) == nullptr);
 }
 
-TEST(TurnRetentionPolicy, runsATurnThatHasTimeToWaitForItsRecord) {
+TEST(TurnRetentionPolicy, admitsATurnThatHasTimeToWaitForItsRecord) {
   CHECK(refusalOf(policy.decide(false, kTurnBytes, kDeadline)) == nullptr);
 }
 
-TEST(TurnRetentionPolicy, refusesAtOnceWhatCouldNotWaitForTheShortestReturn) {
+TEST(TurnRetentionPolicy, refusesATurnWithLessTimeThanTheMinimumHold) {
   const RetentionDecision decision = policy.decide(false, kTurnBytes, milliseconds(600));
   const TurnRefused* const refused = refusalOf(decision);
   CHECK(refused != nullptr);
@@ -151,7 +152,7 @@
   CHECK(refused->retryAfter <= milliseconds(200));
 }
 
-TEST(TurnRetentionPolicy, refusesWhatExceedsTheMemoryWhileTheStoreIsAway) {
+TEST(TurnRetentionPolicy, refusesTurnsAboveTheMemoryLimitInAnOutage) {
   policy.onTurnStarted(true, TurnRetentionKnobs{}.mostBytes - kTurnBytes);
   CHECK(refusalOf(policy.decide(false, kTurnBytes, kDeadline)) == nullptr);
   const RetentionDecision decision = policy.decide(false, kTurnBytes + 1, kDeadline);
@@ -163,22 +164,22 @@
   CHECK(refusalOf(policy.decide(false, kTurnBytes + 1, kDeadline)) == nullptr);
 }
 
-TEST(TurnRetentionPolicy, refusesEveryTurnWhereEndsAreNotHeld) {
-  TurnRetentionPolicy standing(refusing());
-  const RetentionDecision decision = standing.decide(false, kTurnBytes, kDeadline);
+TEST(TurnRetentionPolicy, refusesEveryTurnInAnOutageIfEndsAreNotHeld) {
+  TurnRetentionPolicy withoutHold(withoutHolds());
+  const RetentionDecision decision = withoutHold.decide(false, kTurnBytes, kDeadline);
   const TurnRefused* const refused = refusalOf(decision);
   CHECK(refused != nullptr);
   CHECK(refused->retryAfter == milliseconds(800));
-  CHECK(standing.holdLimit(seconds(3)) == seconds(3));
+  CHECK(withoutHold.holdLimit(seconds(3)) == seconds(3));
 }
 
-TEST(TurnRetentionPolicy, holdsAnEndNoLongerThanItsClientListensOrItsDeadlineAllows) {
+TEST(TurnRetentionPolicy, limitsTheHoldByTheClientsTimeoutAndTheDeadline) {
   CHECK(policy.holdLimit(seconds(3)) == milliseconds(1900));
   CHECK(policy.holdLimit(milliseconds(700)) == milliseconds(700));
   CHECK(policy.holdLimit(milliseconds(-5)) == Duration::zero());
 }
 
-TEST(TurnRetentionPolicy, countsEndsThatWaitThatCameLateAndThatWereGivenUp) {
+TEST(TurnRetentionPolicy, countsHeldLateAndAbortedEnds) {
   policy.onHoldStarted();
   policy.onHoldStarted();
   policy.onHoldStarted();
@@ -191,25 +192,25 @@
   LONGS_EQUAL(1, policy.counters().givenUp);
 }
 
-TEST(TurnRetentionPolicy, losesNoProgramInAnOutageOfFiveSeconds) {
+TEST(TurnRetentionPolicy, failsNoProgramInAnOutageOfFiveSeconds) {
   const Outage fiveSeconds{seconds(10), seconds(15)};
-  const ReplayResult standing = OutageReplay(refusing(), fiveSeconds).play();
-  const ReplayResult held = OutageReplay({}, fiveSeconds).play();
-  CHECK(standing.lost > 0);
+  const SimulationResult withoutHold = OutageSimulation(withoutHolds(), fiveSeconds).play();
+  const SimulationResult held = OutageSimulation({}, fiveSeconds).play();
+  CHECK(withoutHold.lost > 0);
   LONGS_EQUAL(0, held.lost);
-  CHECK(held.inTime >= standing.inTime);
+  CHECK(held.inTime >= withoutHold.inTime);
 }
 
-TEST(TurnRetentionPolicy, savesAThirdOfTheProgramsThatAnOutageOfSevenSecondsCosts) {
+TEST(TurnRetentionPolicy, savesAThirdOfTheProgramsThatFailInAnOutageOfSevenSeconds) {
   const Outage sevenSeconds{seconds(10), seconds(17)};
-  const ReplayResult standing = OutageReplay(refusing(), sevenSeconds).play();
-  const ReplayResult held = OutageReplay({}, sevenSeconds).play();
-  CHECK(held.lost * 3 <= standing.lost * 2);
-  CHECK(held.inTime >= standing.inTime);
+  const SimulationResult withoutHold = OutageSimulation(withoutHolds(), sevenSeconds).play();
+  const SimulationResult held = OutageSimulation({}, sevenSeconds).play();
+  CHECK(held.lost * 3 <= withoutHold.lost * 2);
+  CHECK(held.inTime >= withoutHold.inTime);
 }
 
 TEST(TurnRetentionPolicy, wastesNoMoreThanThreeRunsOfATurn) {
-  const ReplayResult held = OutageReplay({}, {seconds(10), seconds(60)}).play();
+  const SimulationResult held = OutageSimulation({}, {seconds(10), seconds(60)}).play();
   LONGS_EQUAL(0, held.refused);
   CHECK(held.wasted <= 3 * held.lost);
 }
