--- a/src/edge/call_request.h
+++ b/src/edge/call_request.h
@@ -29,8 +29,8 @@
   bool hasConflictingHeaders = false;
   std::string sessionId;     ///< Identifies a sequence of turns; empty outside programs.
   std::string previousTurn;  ///< Request ID of the preceding turn; empty for the first turn.
-  std::string
-      lastEventId;  ///< The client resumes a stream after this event; empty: from the start.
+  /// The client resumes a stream after this event; empty: from the start.
+  std::string lastEventId;
   std::optional<Duration> deadline;  ///< How long the client waits, from the request's arrival.
   /// Time until the deadline of the whole program; zero when the deadline has passed.
   std::optional<Duration> programTimeLeft;
--- a/src/edge/event_log.cpp
+++ b/src/edge/event_log.cpp
@@ -54,9 +54,9 @@
 }
 
 bool EventLog::append(std::string_view event, std::initializer_list<LogField> fields,
-                      std::size_t room) {
+                      std::size_t byteLimit) {
   const std::string line = formatLogLine(event, fields);
-  if (buffer_.size() + line.size() > room) {
+  if (buffer_.size() + line.size() > byteLimit) {
     return false;
   }
   buffer_ += "time_ms=" + timeStamp() + " ";
@@ -81,14 +81,14 @@
              knobs_.bufferBytes)) {
     reportedDroppedLines_ = droppedLines_;
   }
-  writeOut();
+  writeBuffer();
   if (!refusalCounts_.empty()) {
     appendRefusalCounts();  // Uses the space that the first write freed.
-    writeOut();
+    writeBuffer();
   }
 }
 
-void EventLog::writeOut() {
+void EventLog::writeBuffer() {
   if (!buffer_.empty()) {
     buffer_.erase(0, output_(buffer_));
   }
--- a/src/edge/event_log.h
+++ b/src/edge/event_log.h
@@ -68,11 +68,12 @@
   /// Counts a routine line against the rate limit of the current one-second window.
   /// \return whether the line is within the limit.
   bool admitRoutineLine();
-  /// \param room maximum size of the buffer with the line, in bytes.
+  /// \param byteLimit maximum size of the buffer including the line.
   /// \return false when the line does not fit.
-  bool append(std::string_view event, std::initializer_list<LogField> fields, std::size_t room);
+  bool append(std::string_view event, std::initializer_list<LogField> fields,
+              std::size_t byteLimit);
   void appendRefusalCounts();
-  void writeOut();
+  void writeBuffer();
 
   Output output_;
   std::function<Instant()> clock_;
--- a/src/edge/event_splitter.cpp
+++ b/src/edge/event_splitter.cpp
@@ -13,7 +13,7 @@
   return !value.empty() && value.front() == ' ' ? value.substr(1) : value;
 }
 
-void readLine(std::string_view line, StreamEvent& event, bool& hasData) {
+void parseLine(std::string_view line, StreamEvent& event, bool& hasData) {
   constexpr std::string_view kId = "id:";
   constexpr std::string_view kData = "data:";
   if (line.substr(0, kId.size()) == kId) {
@@ -42,7 +42,7 @@
         withoutCarriageReturn(std::string_view(partial_).substr(lineStart, lineEnd - lineStart));
     lineStart = lineEnd + 1;
     if (!line.empty()) {
-      readLine(line, event, hasData);
+      parseLine(line, event, hasData);
     } else {
       event.text = partial_.substr(eventStart, lineStart - eventStart);
       events.push_back(std::move(event));
--- a/src/edge/exchange.cpp
+++ b/src/edge/exchange.cpp
@@ -54,15 +54,15 @@
     return;
   }
   // Only a streaming request can be the first of its program; tools are called later.
-  const bool begins = isStreaming() && stage() == routing::WorkStage::FirstTurn;
+  const bool isFirstTurn = isStreaming() && stage() == routing::WorkStage::FirstTurn;
   context_.quota.admit(*checked_.tenant,
-                       begins ? quota::ProgramStage::Beginning : quota::ProgramStage::Begun,
+                       isFirstTurn ? quota::ProgramStage::Beginning : quota::ProgramStage::Begun,
                        [self = shared_from_this()](const quota::QuotaDecision& decision) {
-                         self->onQuota(decision);
+                         self->onQuotaDecision(decision);
                        });
 }
 
-void Exchange::onQuota(const quota::QuotaDecision& decision) {
+void Exchange::onQuotaDecision(const quota::QuotaDecision& decision) {
   holdsQuotaToken_ = decision.verdict == quota::QuotaVerdict::Granted;
   if (ended_) {
     returnQuotaToken();
@@ -143,11 +143,11 @@
   }
   context_.ledger.findHistory({checked_.previousTurnName, checked_.turnZones()},
                               [self = shared_from_this()](ledger::HistoryAnswer answer) {
-                                self->onHistory(std::move(answer));
+                                self->onHistoryAnswer(std::move(answer));
                               });
 }
 
-void Exchange::onHistory(ledger::HistoryAnswer answer) {
+void Exchange::onHistoryAnswer(ledger::HistoryAnswer answer) {
   if (ended_) {
     return;
   }
@@ -174,8 +174,8 @@
     return;
   }
   const std::uint64_t known = context_.ledger.knownUse(checked_.programName);
-  const std::uint64_t roomNeeded = request_.maximumTokens * context_.knobs.ampleBudgetTurns;
-  const bool ample = known + roomNeeded <= *request_.tokenBudget;
+  const std::uint64_t tokensNeeded = request_.maximumTokens * context_.knobs.ampleBudgetTurns;
+  const bool ample = known + tokensNeeded <= *request_.tokenBudget;
   // With ample known budget the request is dispatched in parallel with the reservation. If the
   // reservation may fail, it comes first: a turn that was dispatched before its reservation failed
   // may have run, and its client must not retry it.
@@ -212,11 +212,11 @@
   context_.ledger.reserve(
       budgetRequest, limit,
       [self = shared_from_this(), dispatchAfterwards](const ledger::ReservationReply& reply) {
-        self->onReservation(dispatchAfterwards, reply);
+        self->onReservationReply(dispatchAfterwards, reply);
       });
 }
 
-void Exchange::onReservation(bool dispatchAfterwards, const ledger::ReservationReply& reply) {
+void Exchange::onReservationReply(bool dispatchAfterwards, const ledger::ReservationReply& reply) {
   if (ended_) {
     // `end` has already settled the budget.
     return;
@@ -379,7 +379,7 @@
   }
   const std::string programLeft = programMillisecondsLeft();
   // Requests of programs past their deadline are logged like failures.
-  const bool succeeded = outcome == "answered" && programLeft != "0";
+  const bool isRoutine = outcome == "answered" && programLeft != "0";
   const std::string route = checked_.routeName();
   const std::string tenant = checked_.tenantName();
   context_.metrics.onRequestEnded(route, std::string(outcome), std::string(reason),
@@ -399,7 +399,7 @@
       {"first_event_ms", millisecondsUntil(firstEventAt_)},
       {"program_left_ms", programLeft},
       {"took_ms", wholeMilliseconds(context_.clock() - arrivedAt_)}};
-  if (succeeded) {
+  if (isRoutine) {
     context_.log.routine("request_ended", fields);
   } else if (outcome.starts_with("refused_")) {
     context_.log.refusal("request_ended", {request_.programId, reason}, fields);
--- a/src/edge/exchange.h
+++ b/src/edge/exchange.h
@@ -43,11 +43,11 @@
 
   // Before the first dispatch.
   void checkQuota();
-  void onQuota(const quota::QuotaDecision& decision);
+  void onQuotaDecision(const quota::QuotaDecision& decision);
   /// Returns the quota token if the request was never dispatched.
   void returnQuotaToken();
   void findHistory();
-  void onHistory(ledger::HistoryAnswer answer);
+  void onHistoryAnswer(ledger::HistoryAnswer answer);
   /// Counts the turn's estimated bytes in the retention policy.
   /// \return false if the turn was refused.
   bool reserveTurnMemory();
@@ -61,7 +61,7 @@
   /// \param timeLimit timeout of the reservation.
   void reserve(bool dispatchAfterwards, Duration timeLimit);
   [[nodiscard]] Duration reservationTimeout(ledger::ReservationOutlook outlook) const;
-  void onReservation(bool dispatchAfterwards, const ledger::ReservationReply& reply);
+  void onReservationReply(bool dispatchAfterwards, const ledger::ReservationReply& reply);
   void retryReservation(const ledger::ReservationReply& reply);
 
   // At a replica.
@@ -71,9 +71,10 @@
   [[nodiscard]] routing::PlacementSubject placementSubject() const;
   void onReplicasBusy(const routing::PlacesTaken& taken);
   void onNoReplica(const routing::NoReplica& none);
+  /// \return the stage of the program, for admission control and quota.
   [[nodiscard]] routing::WorkStage stage() const;
   /// \return the request's priority for the replica; 0 is the most urgent.
-  [[nodiscard]] std::uint32_t urgency() const;
+  [[nodiscard]] std::uint32_t replicaPriority() const;
   void onHead(unsigned status, const std::vector<http::Header>& headers);
   void onBody(std::string_view part);
   void onReplicaDone();
@@ -81,7 +82,7 @@
   void onReplicaRefusal();
   [[nodiscard]] FailedDispatch failedDispatch(bool mayHaveRunThere) const;
   /// \return whether attempts and time are left to dispatch to a replica again after refusals.
-  [[nodiscard]] bool hasTriesLeft() const;
+  [[nodiscard]] bool hasAttemptsLeft() const;
   /// \param reason given to the client if the step ends the request.
   void performStep(RecoveryStep step, const std::string& reason);
   /// Checks whether the replica of the current dispatch is reachable. `callback` is not called
@@ -91,8 +92,9 @@
   void onRequestNotSent();
   /// \param isRunning whether the replica is assumed to be running, so that it may be tried again.
   void abandonUnsentDispatch(bool isRunning);
-  /// Ends a dispatch that the replica did not execute. \param isRunning see
-  /// `abandonUnsentDispatch`. \return the state of the request afterwards.
+  /// Ends a dispatch that the replica did not execute.
+  /// \param isRunning see `abandonUnsentDispatch`.
+  /// \return the state of the request afterwards.
   [[nodiscard]] FailedDispatch abandonUnservedDispatch(bool isRunning);
   /// Calls `onSilenceTimeout` if the dispatch is still in progress after `ExchangeKnobs::silence`.
   void startSilenceTimer();
@@ -107,10 +109,13 @@
   void recover(bool resumeOnSameReplica);
   void onCompleteResponse();
   void onStreamEnd();
-  void onStored(const logstore::StoreResult<Success>& stored);
+  void onTurnStored(const logstore::StoreResult<Success>& stored);
   /// Aborts the answer because the turn's record was not stored within the hold limit.
   void onHoldTimeout();
+  /// \return whether the request may be dispatched again although it may have run: it is
+  /// idempotent, and time, resumes and replicas are left.
   [[nodiscard]] bool mayRerun() const;
+  /// Dispatches a request that may have run, to `resumeReplica_` if possible.
   void dispatchAgain();
   /// \return whether the route allows dispatching to a further replica.
   [[nodiscard]] bool mayRunOnAnotherReplica() const;
--- a/src/edge/exchange_placement.cpp
+++ b/src/edge/exchange_placement.cpp
@@ -8,11 +8,11 @@
 namespace gorsetrail::edge {
 
 routing::PlacementQuery Exchange::placementQuery() const {
-  const bool keepsPrompts = checked_.hasEngine && !request_.programId.empty();
+  const bool cachesPrompts = checked_.hasEngine && !request_.programId.empty();
   routing::PlacementQuery query;
   query.replica.service = checked_.service;
-  query.replica.affinityKey = keepsPrompts ? checked_.programName : checked_.turnName;
-  query.replica.promptTokens = keepsPrompts ? request_.promptTokens : 0;
+  query.replica.affinityKey = cachesPrompts ? checked_.programName : checked_.turnName;
+  query.replica.promptTokens = cachesPrompts ? request_.promptTokens : 0;
   query.replica.tried = &excludedReplicas_;
   query.subject = placementSubject();
   query.replica.isConnected = [this](const routing::Replica& replica) {
@@ -62,11 +62,11 @@
   if (budget > 0 && static_cast<double>(known) > context_.knobs.runawayShare * budget) {
     return routing::WorkStage::Runaway;
   }
-  const bool begun = !request_.previousTurn.empty() || known > request_.maximumTokens;
-  return begun ? routing::WorkStage::Continuing : routing::WorkStage::FirstTurn;
+  const bool hasBegun = !request_.previousTurn.empty() || known > request_.maximumTokens;
+  return hasBegun ? routing::WorkStage::Continuing : routing::WorkStage::FirstTurn;
 }
 
-std::uint32_t Exchange::urgency() const {
+std::uint32_t Exchange::replicaPriority() const {
   const bool isLate =
       request_.programTimeLeft && *request_.programTimeLeft <= context_.clock() - arrivedAt_;
   return isLate ? tenant::kLeastUrgentPriority
--- a/src/edge/exchange_refusals.cpp
+++ b/src/edge/exchange_refusals.cpp
@@ -11,7 +11,7 @@
 
 /// Most log lines of one refused history lookup. The most likely partitions are searched first, so
 /// that later ones add little information.
-constexpr std::size_t kMostUnreadPartitions = ledger::kTurnChoices;
+constexpr std::size_t kMaximumLoggedPartitions = ledger::kTurnChoices;
 
 std::uint64_t percentOf(double share) {
   constexpr double kPercent = 100.0;
@@ -50,8 +50,8 @@
 }
 
 void Exchange::logHistoryRefused(const ledger::LedgerUnavailable& unavailable) {
-  const std::size_t told = std::min(unavailable.unread.size(), kMostUnreadPartitions);
-  for (std::size_t index = 0; index < told; ++index) {
+  const std::size_t logged = std::min(unavailable.unread.size(), kMaximumLoggedPartitions);
+  for (std::size_t index = 0; index < logged; ++index) {
     const ledger::UnreadPartition& unread = unavailable.unread[index];
     context_.log.refusal("history_refused", {request_.programId, unread.reason},
                          {{"request", request_.requestId},
--- a/src/edge/exchange_replica.cpp
+++ b/src/edge/exchange_replica.cpp
@@ -36,7 +36,7 @@
   parameters.address = replica->entry.address;
   parameters.replicaId = replica->entry.id;
   parameters.timeLeft = timeLeft();
-  parameters.priority = urgency();
+  parameters.priority = replicaPriority();
   parameters.lastEventId = progress_.lastEventId();
   parameters.tenant = checked_.tenantName();
   parameters.connectTimeLimit = context_.knobs.connectTimeLimit;
@@ -173,7 +173,7 @@
   failed.mayHaveRun = mayHaveRun_;
   failed.streamBegun = streamBegun_;
   failed.mayRerun = mayRerun();
-  failed.mayTryAnotherReplica = hasTriesLeft() && mayRunOnAnotherReplica();
+  failed.mayTryAnotherReplica = hasAttemptsLeft() && mayRunOnAnotherReplica();
   return failed;
 }
 
@@ -181,12 +181,12 @@
   excludedReplicas_.push_back(replica_);
   ++refusedDispatches_;
   FailedDispatch failed = failedDispatch(false);
-  failed.mayRetrySameReplica = isRunning && replica_ == resumeReplica_ && hasTriesLeft();
+  failed.mayRetrySameReplica = isRunning && replica_ == resumeReplica_ && hasAttemptsLeft();
   releaseReplica();
   return failed;
 }
 
-bool Exchange::hasTriesLeft() const {
+bool Exchange::hasAttemptsLeft() const {
   return refusedDispatches_ < context_.knobs.maximumRefusedTries && timeLeft() > kAnswerMargin;
 }
 
@@ -247,7 +247,7 @@
     writer_->beginStream(head_.status, replicaHeaders_);
   }
   if (!checked_.route->persisted) {
-    onStored(Success{});
+    onTurnStored(Success{});
     return;
   }
   streamEnded_ = false;  // So that `releaseOutput` does not handle the end a second time.
@@ -263,11 +263,11 @@
       {checked_.turnName, checked_.previousTurnName, history_,
        turnInput_ + progress_.recordedData(), checked_.turnZones()},
       limit, [self = shared_from_this()](const logstore::StoreResult<Success>& stored) {
-        self->onStored(stored);
+        self->onTurnStored(stored);
       });
 }
 
-void Exchange::onStored(const logstore::StoreResult<Success>& stored) {
+void Exchange::onTurnStored(const logstore::StoreResult<Success>& stored) {
   if (ended_) {
     return;
   }
@@ -363,11 +363,11 @@
     return;
   }
   checkReplicaReachability([](Exchange& self, Reachability reach) {
-    const bool isGone = reach == Reachability::Unreachable;
-    if (isGone) {
+    const bool isUnreachable = reach == Reachability::Unreachable;
+    if (isUnreachable) {
       self.runs_.recordUnreachable(self.replica_);
     }
-    self.abandonUnsentDispatch(!isGone);
+    self.abandonUnsentDispatch(!isUnreachable);
   });
 }
 
--- a/src/edge/exchange_silence.cpp
+++ b/src/edge/exchange_silence.cpp
@@ -20,7 +20,7 @@
                            });
 }
 
-// A failed or partitioned replica is told from a slow one only by new connections that fail.
+// A failed or partitioned replica differs from a slow one only in that new connections fail.
 // Without that proof the run must not be abandoned: the request would run at two replicas at once.
 void Exchange::onSilenceTimeout() {
   followRestartedReplica();
--- a/src/edge/reach_check.cpp
+++ b/src/edge/reach_check.cpp
@@ -63,16 +63,16 @@
 }
 
 void checkReachability(http::HttpClient& client, const std::string& replica,
-                       const std::string& witness, Duration limit,
+                       const std::string& witness, Duration timeLimit,
                        std::function<void(Reachability)> callback) {
   const auto check = std::make_shared<ReachabilityCheck>(std::move(callback));
   if (witness.empty()) {
     check->onWitness(true);
   } else {
-    client.checkReachable(witness, limit, [check](bool reached) { check->onWitness(reached); });
+    client.checkReachable(witness, timeLimit, [check](bool reached) { check->onWitness(reached); });
   }
   for (int connection = 0; connection < kReplicaConnections; ++connection) {
-    client.checkReachable(replica, limit, [check](bool reached) { check->onReplica(reached); });
+    client.checkReachable(replica, timeLimit, [check](bool reached) { check->onReplica(reached); });
   }
 }
 
--- a/src/edge/reach_check.h
+++ b/src/edge/reach_check.h
@@ -24,11 +24,13 @@
 
 /// Opens two connections to the replica and one to a witness at the same time. The witness guards
 /// against false positives: on a node with a saturated link or CPU every connection times out,
-/// while the replica may still execute the request. \param replica address of the replica. \param
-/// witness address of another replica; empty: the result depends on `replica` alone. \param limit
-/// timeout of each connection. \param callback called once.
+/// while the replica may still execute the request.
+/// \param replica address of the replica.
+/// \param witness address of another replica; empty: the result depends on `replica` alone.
+/// \param timeLimit timeout of each connection.
+/// \param callback called once.
 void checkReachability(http::HttpClient& client, const std::string& replica,
-                       const std::string& witness, Duration limit,
+                       const std::string& witness, Duration timeLimit,
                        std::function<void(Reachability)> callback);
 
 }  // namespace gorsetrail::edge
--- a/src/edge/replica_runs.cpp
+++ b/src/edge/replica_runs.cpp
@@ -31,9 +31,9 @@
   });
 }
 
-bool ReplicaRuns::mayRunOnAnotherReplica(std::uint32_t maximum) const {
+bool ReplicaRuns::mayRunOnAnotherReplica(std::uint32_t maximumReplicas) const {
   const auto counting = std::count_if(runs_.begin(), runs_.end(), mayStillBeRunning);
-  return static_cast<std::uint32_t>(counting) < maximum;
+  return static_cast<std::uint32_t>(counting) < maximumReplicas;
 }
 
 }  // namespace gorsetrail::edge
--- a/src/edge/replica_runs.h
+++ b/src/edge/replica_runs.h
@@ -9,7 +9,7 @@
 
 namespace gorsetrail::edge {
 
-/// Enforces the maximum number of replicas at which a request may run, as set by its route.
+/// Enforces the maximumReplicas number of replicas at which a request may run, as set by its route.
 ///
 /// Resuming a stream at the same replica does not count as a further replica. A replica stops
 /// counting when it is shown to be unreachable, or when its process restarted after the dispatch. A
@@ -26,9 +26,9 @@
   /// \return whether a run is recorded for the replica and may not have ended yet.
   [[nodiscard]] bool mayStillBeRunningAt(const routing::ReplicaPtr& replica) const;
 
-  /// \param maximum number of replicas that the route allows.
+  /// \param maximumReplicas number of replicas that the route allows.
   /// \return whether the request may be dispatched to a further replica.
-  [[nodiscard]] bool mayRunOnAnotherReplica(std::uint32_t maximum) const;
+  [[nodiscard]] bool mayRunOnAnotherReplica(std::uint32_t maximumReplicas) const;
 
  private:
   struct Run {
--- a/tests/edge/event_log_test.cpp
+++ b/tests/edge/event_log_test.cpp
@@ -12,16 +12,16 @@
 
 TEST_GROUP(EventLog) {
   std::string written;
-  std::size_t room = SIZE_MAX;
+  std::size_t writableBytes = SIZE_MAX;
   Instant now{seconds(100)};
   EventLogKnobs knobs;
 
   EventLog make() {
     return EventLog(
         [this](std::string_view bytes) {
-          const std::size_t taken = std::min(room, bytes.size());
-          written += bytes.substr(0, taken);
-          return taken;
+          const std::size_t accepted = std::min(writableBytes, bytes.size());
+          written += bytes.substr(0, accepted);
+          return accepted;
         },
         [this] { return now; }, knobs);
   }
@@ -64,7 +64,7 @@
 }
 
 TEST(EventLog, dropsAndCountsLinesWhileTheOutputIsBlocked) {
-  room = 0;
+  writableBytes = 0;
   knobs.bufferBytes = 2000;
   EventLog log = make();
   for (int line = 0; line < 1000; ++line) {
@@ -72,7 +72,7 @@
     log.flush();
   }
   CHECK(log.leftOut() > 900);
-  room = SIZE_MAX;
+  writableBytes = SIZE_MAX;
   log.flush();
   CHECK(written.size() < 3000);
   log.flush();
@@ -97,9 +97,9 @@
   std::string written;
   Instant now{seconds(100)};
   EventLog log{[this](std::string_view bytes) {
-                 const std::size_t taken = std::min(kPipeBytes, bytes.size());
-                 written += bytes.substr(0, taken);
-                 return taken;
+                 const std::size_t accepted = std::min(kPipeBytes, bytes.size());
+                 written += bytes.substr(0, accepted);
+                 return accepted;
                },
                [this] { return now; },
                {}};
--- a/tests/edge/event_splitter_test.cpp
+++ b/tests/edge/event_splitter_test.cpp
@@ -24,10 +24,10 @@
 }
 
 TEST(EventSplitter, givesTheSameEventsForEverySplitOfTheBytes) {
-  for (std::size_t cut = 1; cut < kStream.size(); ++cut) {
+  for (std::size_t splitPosition = 1; splitPosition < kStream.size(); ++splitPosition) {
     EventSplitter fresh;
-    auto events = fresh.feed(kStream.substr(0, cut));
-    for (StreamEvent& event : fresh.feed(kStream.substr(cut))) {
+    auto events = fresh.feed(kStream.substr(0, splitPosition));
+    for (StreamEvent& event : fresh.feed(kStream.substr(splitPosition))) {
       events.push_back(std::move(event));
     }
     std::string text;
--- a/tests/edge/exchange_tenant_test.cpp
+++ b/tests/edge/exchange_tenant_test.cpp
@@ -179,13 +179,13 @@
 }
 
 TEST(ExchangeTenant, returnsAQuotaTokenThatWasNotUsed) {
-  world.quota.holds = true;
+  world.quota.isDeferred = true;
   const auto client = start(ExchangeWorld::request("safe"), "alice-key");
   client->observer.onGone();
   world.quota.waiting.front()({});
   LONGS_EQUAL(1, world.quota.givenBack.size());
   LONGS_EQUAL(0, world.dispatches());
-  world.quota.holds = false;
+  world.quota.isDeferred = false;
   start(ExchangeWorld::request("safe"), "alice-key");
   world.call().head(200);
   world.call().done();
--- a/tests/edge/exchange_world.h
+++ b/tests/edge/exchange_world.h
@@ -69,7 +69,7 @@
  public:
   void admit(const tenant::Tenant& tenant, quota::ProgramStage stage, Callback callback) override {
     asked.push_back({tenant.name, stage});
-    if (holds) {
+    if (isDeferred) {
       waiting.push_back(std::move(callback));
     } else {
       callback(decision);
@@ -78,7 +78,7 @@
   void giveBack(const std::string& tenant) override { givenBack.push_back(tenant); }
 
   quota::QuotaDecision decision;
-  bool holds = false;
+  bool isDeferred = false;
   std::vector<Callback> waiting;
   std::vector<std::pair<std::string, quota::ProgramStage>> asked;
   std::vector<std::string> givenBack;
--- a/tests/edge/recovery_policy_test.cpp
+++ b/tests/edge/recovery_policy_test.cpp
@@ -40,9 +40,9 @@
 }
 
 TEST(RecoveryPolicy, abortsAStreamThatTheClientHasPartOf) {
-  FailedDispatch cut = interruptedRun(false);
-  cut.streamBegun = true;
-  CHECK(RecoveryStep::AbortStream == nextStep(cut));
+  FailedDispatch interrupted = interruptedRun(false);
+  interrupted.streamBegun = true;
+  CHECK(RecoveryStep::AbortStream == nextStep(interrupted));
 }
 
 TEST(RecoveryPolicy, retriesABusyReplicaOnlyIfNoOtherIsAllowed) {
