--- a/src/edge/exchange.cpp
+++ b/src/edge/exchange.cpp
@@ -33,7 +33,7 @@
     refuse(*check.refusal);
     return;
   }
-  writer_->observe({[self = shared_from_this()] { self->onClientGone(); }, {}});
+  writer_->observe({[self = shared_from_this()] { self->onClientDisconnected(); }, {}});
   const Duration allowed =
       std::min(request_.deadline.value_or(checked_.route->timeout), checked_.route->timeout);
   deadlineAt_ = arrivedAt_ + allowed;
@@ -43,7 +43,7 @@
                                self->onDeadline();
                              }
                            });
-  if (mayKeepTurn(request_.body.size())) {
+  if (admitPersistedTurn(request_.body.size())) {
     checkQuota();
   }
 }
@@ -53,19 +53,19 @@
     findHistory();
     return;
   }
-  // Tools are called by programs that have begun.
-  const bool begins = isStreaming() && stage() == routing::WorkStage::FirstTurn;
+  // Only a streaming request can be the first of its program; tools are called later.
+  const bool isFirstTurn = isStreaming() && stage() == routing::WorkStage::FirstTurn;
   context_.quota.admit(*checked_.tenant,
-                       begins ? quota::ProgramStage::Beginning : quota::ProgramStage::Begun,
+                       isFirstTurn ? quota::ProgramStage::Beginning : quota::ProgramStage::Begun,
                        [self = shared_from_this()](const quota::QuotaDecision& decision) {
-                         self->onQuota(decision);
+                         self->onQuotaDecision(decision);
                        });
 }
 
-void Exchange::onQuota(const quota::QuotaDecision& decision) {
+void Exchange::onQuotaDecision(const quota::QuotaDecision& decision) {
   holdsQuotaToken_ = decision.verdict == quota::QuotaVerdict::Granted;
   if (ended_) {
-    giveQuotaTokenBack();
+    returnQuotaToken();
     return;
   }
   if (decision.verdict == quota::QuotaVerdict::OverLimit) {
@@ -78,7 +78,7 @@
   }
 }
 
-void Exchange::giveQuotaTokenBack() {
+void Exchange::returnQuotaToken() {
   if (holdsQuotaToken_ && !firstDispatchAt_) {
     context_.quota.giveBack(checked_.tenant->name);
   }
@@ -87,15 +87,16 @@
 
 bool Exchange::isPersistedTurn() const { return isStreaming() && checked_.route->persisted; }
 
-bool Exchange::storeTakesTurn() const {
+bool Exchange::isStoreAvailableForTurn() const {
   return context_.ledger.takesTurn({checked_.turnName, checked_.turnZones()});
 }
 
-bool Exchange::mayKeepTurn(std::size_t bytes) {
+bool Exchange::admitPersistedTurn(std::size_t bytes) {
   if (!isPersistedTurn()) {
     return true;
   }
-  const RetentionDecision decision = context_.retention.decide(storeTakesTurn(), bytes, timeLeft());
+  const RetentionDecision decision =
+      context_.retention.decide(isStoreAvailableForTurn(), bytes, timeLeft());
   if (const auto* const refused = std::get_if<TurnRefused>(&decision)) {
     refuse({kUnavailable, std::string(refused->reason), refused->retryAfter});
     return false;
@@ -103,22 +104,22 @@
   return true;
 }
 
-bool Exchange::retainTurn() {
-  // Text of a token, upper end: outputs are counted before they are made.
+bool Exchange::reserveTurnMemory() {
+  // Upper estimate, because the output is counted before it is generated.
   constexpr std::size_t kBytesPerToken = 8;
   const std::size_t bytes = request_.body.size() + request_.maximumTokens * kBytesPerToken;
-  if (!mayKeepTurn(bytes)) {
+  if (!admitPersistedTurn(bytes)) {
     return false;
   }
   if (isPersistedTurn()) {
     retainedBytes_ = bytes;
-    context_.retention.retain(storeTakesTurn(), bytes);
+    context_.retention.onTurnStarted(isStoreAvailableForTurn(), bytes);
   }
   return true;
 }
 
-void Exchange::releaseTurnBytes() {
-  context_.retention.release(retainedBytes_);
+void Exchange::releaseTurnMemory() {
+  context_.retention.onTurnEnded(retainedBytes_);
   retainedBytes_ = 0;
 }
 
@@ -135,18 +136,18 @@
     checkBudget();
     return;
   }
-  ownInput_ = request_.body;
+  turnInput_ = request_.body;
   if (request_.previousTurn.empty()) {
     checkBudget();
     return;
   }
   context_.ledger.findHistory({checked_.previousTurnName, checked_.turnZones()},
                               [self = shared_from_this()](ledger::HistoryAnswer answer) {
-                                self->onHistory(std::move(answer));
+                                self->onHistoryAnswer(std::move(answer));
                               });
 }
 
-void Exchange::onHistory(ledger::HistoryAnswer answer) {
+void Exchange::onHistoryAnswer(ledger::HistoryAnswer answer) {
   if (ended_) {
     return;
   }
@@ -159,13 +160,13 @@
     refuse({kUnavailable, "history_unavailable", context_.knobs.retryAfterStore});
     return;
   }
-  before_ = std::move(std::get<ledger::History>(answer));
-  request_.body = before_.text + request_.body;
+  history_ = std::move(std::get<ledger::History>(answer));
+  request_.body = history_.text + request_.body;
   checkBudget();
 }
 
 void Exchange::checkBudget() {
-  if (!retainTurn()) {
+  if (!reserveTurnMemory()) {
     return;
   }
   if (!isBudgeted()) {
@@ -173,21 +174,21 @@
     return;
   }
   const std::uint64_t known = context_.ledger.knownUse(checked_.programName);
-  const std::uint64_t roomNeeded = request_.maximumTokens * context_.knobs.ampleBudgetTurns;
-  const bool ample = known + roomNeeded <= *request_.tokenBudget;
-  // While the budget is ample as far as is known, the reservation runs beside the dispatch. Where
-  // it may not be decided, the home is asked first: it may hold a lease. A turn that was dispatched
-  // beside a reservation that failed may have run, and its client may not try it again.
+  const std::uint64_t tokensNeeded = request_.maximumTokens * context_.knobs.ampleBudgetTurns;
+  const bool ample = known + tokensNeeded <= *request_.tokenBudget;
+  // With ample known budget the request is dispatched in parallel with the reservation. If the
+  // reservation may fail, it comes first: a turn that was dispatched before its reservation failed
+  // may have run, and its client must not retry it.
   const ledger::ReservationOutlook outlook =
       context_.ledger.reservationOutlook(checked_.programName);
-  const bool besides = ample && outlook == ledger::ReservationOutlook::Likely;
-  reserve(!besides, longestReservation(outlook));
-  if (besides && !ended_) {
+  const bool inParallel = ample && outlook == ledger::ReservationOutlook::Likely;
+  reserve(!inParallel, reservationTimeout(outlook));
+  if (inParallel && !ended_) {
     dispatch();
   }
 }
 
-Duration Exchange::longestReservation(ledger::ReservationOutlook outlook) const {
+Duration Exchange::reservationTimeout(ledger::ReservationOutlook outlook) const {
   switch (outlook) {
     case ledger::ReservationOutlook::Likely:
       break;
@@ -199,24 +200,25 @@
   return timeLeft() - kAnswerMargin;
 }
 
-void Exchange::reserve(bool dispatchAfterwards, Duration longest) {
+void Exchange::reserve(bool dispatchAfterwards, Duration timeLimit) {
   budget_ = BudgetState::Reserving;
-  reservationMayStand_ = true;
-  const Duration limit = std::max(Duration::zero(), std::min(longest, timeLeft() - kAnswerMargin));
-  const ledger::BudgetRequest wanted{
+  reservationMayExist_ = true;
+  const Duration limit =
+      std::max(Duration::zero(), std::min(timeLimit, timeLeft() - kAnswerMargin));
+  const ledger::BudgetRequest budgetRequest{
       {checked_.turnName, checked_.programName, request_.maximumTokens},
       *request_.tokenBudget,
       request_.programTimeLeft};
   context_.ledger.reserve(
-      wanted, limit,
+      budgetRequest, limit,
       [self = shared_from_this(), dispatchAfterwards](const ledger::ReservationReply& reply) {
-        self->onReservation(dispatchAfterwards, reply);
+        self->onReservationReply(dispatchAfterwards, reply);
       });
 }
 
-void Exchange::onReservation(bool dispatchAfterwards, const ledger::ReservationReply& reply) {
+void Exchange::onReservationReply(bool dispatchAfterwards, const ledger::ReservationReply& reply) {
   if (ended_) {
-    // The request ended first; what it did not use was given back when it ended.
+    // `end` has already settled the budget.
     return;
   }
   if (reply.outcome == ledger::ReservationOutcome::Granted) {
@@ -229,31 +231,31 @@
     return;
   }
   if (reply.outcome == ledger::ReservationOutcome::Spent) {
-    reservationMayStand_ = false;
+    reservationMayExist_ = false;
     if (mayHaveRun_ || call_) {
-      breakOff("budget_spent");
+      abortAnswer("budget_spent");
     } else {
       refuse({kBudgetSpent, "budget_spent", Duration::zero()});
     }
     return;
   }
   if (mayHaveRun_ || call_) {
-    reserveOnceMore(reply);
+    retryReservation(reply);
   } else {
     logReservationRefused(reply);
     refuse({kUnavailable, "reservation_unavailable", context_.knobs.retryAfterReservation});
   }
 }
 
-// The first of several turns meets an outage or a dead home, and nothing of this one was released
-// yet: by now the home is known, or a lease was taken.
-void Exchange::reserveOnceMore(const ledger::ReservationReply& reply) {
-  if (reservedOnceMore_) {
+// A second attempt is safe because no event was released yet. It often succeeds, because by then
+// the ledger has found the program's coordinator or obtained a lease.
+void Exchange::retryReservation(const ledger::ReservationReply& reply) {
+  if (reservationRetried_) {
     logReservationRefused(reply);
-    breakOff("reservation_unavailable");
+    abortAnswer("reservation_unavailable");
     return;
   }
-  reservedOnceMore_ = true;
+  reservationRetried_ = true;
   context_.timers.runAfter(context_.knobs.reservationPause, [weak = weak_from_this()] {
     const auto self = weak.lock();
     if (self && !self->ended_) {
@@ -273,7 +275,7 @@
       firstEventAt_ = context_.clock();
       context_.metrics.onFirstEvent(*firstEventAt_ - arrivedAt_);
     }
-    writer_->write(progress_.release());
+    writer_->write(progress_.releaseEvents());
   }
   if (streamEnded_) {
     onStreamEnd();
@@ -285,26 +287,26 @@
 }
 
 void Exchange::settleBudget(std::uint64_t tokens) {
-  if (reservationMayStand_) {
-    reservationMayStand_ = false;
+  if (reservationMayExist_) {
+    reservationMayExist_ = false;
     context_.ledger.settle({checked_.turnName, checked_.programName, tokens});
   }
 }
 
-RunKnowledge Exchange::runKnowledge() const {
+ExecutionState Exchange::executionState() const {
   if (mayHaveRun_ || call_) {
-    return RunKnowledge::Unknown;
+    return ExecutionState::Unknown;
   }
-  return dispatchNumber_ == 0 ? RunKnowledge::NeverSent : RunKnowledge::Declined;
+  return dispatchNumber_ == 0 ? ExecutionState::NotSent : ExecutionState::NotExecuted;
 }
 
 void Exchange::refuse(const Refusal& refusal) {
   if (ended_) {
     return;
   }
-  const unsigned status = truthfulStatus(refusal.status, runKnowledge());
+  const unsigned status = statusConsistentWith(refusal.status, executionState());
   if (status != refusal.status) {
-    failUnknown(status, refusal.reason);
+    failWithUnknownState(status, refusal.reason);
     return;
   }
   settleBudget(0);
@@ -312,7 +314,7 @@
   end("refused_" + std::to_string(refusal.status), refusal.reason);
 }
 
-void Exchange::failUnknown(unsigned status, const std::string& reason) {
+void Exchange::failWithUnknownState(unsigned status, const std::string& reason) {
   if (ended_) {
     return;
   }
@@ -321,13 +323,13 @@
   end("unknown_" + std::to_string(status), reason);
 }
 
-void Exchange::breakOff(const std::string& reason) {
+void Exchange::abortAnswer(const std::string& reason) {
   if (ended_) {
     return;
   }
   if (!streamBegun_) {
-    // The client has seen nothing yet: it gets an answer rather than a closed connection.
-    failUnknown(kBadGateway, reason);
+    // The client has received nothing yet, so that an error answer is still possible.
+    failWithUnknownState(kBadGateway, reason);
     return;
   }
   settleBudget(tokensHandedOut());
@@ -339,15 +341,15 @@
     return;
   }
   if (streamBegun_) {
-    breakOff("deadline");
+    abortAnswer("deadline");
   } else if (mayHaveRun_ || call_) {
-    failUnknown(kGatewayTimeout, "deadline");
+    failWithUnknownState(kGatewayTimeout, "deadline");
   } else {
     refuse({kUnavailable, "deadline", Duration::zero()});
   }
 }
 
-void Exchange::onClientGone() {
+void Exchange::onClientDisconnected() {
   if (ended_) {
     return;
   }
@@ -369,15 +371,15 @@
 
 void Exchange::end(std::string_view outcome, std::string_view reason) {
   ended_ = true;
-  giveQuotaTokenBack();
-  releaseTurnBytes();
+  returnQuotaToken();
+  releaseTurnMemory();
   if (endHeld_) {
     endHeld_ = false;
     context_.retention.onHoldEnded(false, context_.clock() - streamEndedAt_);
   }
   const std::string programLeft = programMillisecondsLeft();
-  // Programs that are late are looked into like failures.
-  const bool well = outcome == "answered" && programLeft != "0";
+  // Requests of programs past their deadline are logged like failures.
+  const bool isRoutine = outcome == "answered" && programLeft != "0";
   const std::string route = checked_.routeName();
   const std::string tenant = checked_.tenantName();
   context_.metrics.onRequestEnded(route, std::string(outcome), std::string(reason),
@@ -397,7 +399,7 @@
       {"first_event_ms", millisecondsUntil(firstEventAt_)},
       {"program_left_ms", programLeft},
       {"took_ms", wholeMilliseconds(context_.clock() - arrivedAt_)}};
-  if (well) {
+  if (isRoutine) {
     context_.log.routine("request_ended", fields);
   } else if (outcome.starts_with("refused_")) {
     context_.log.refusal("request_ended", {request_.programId, reason}, fields);
@@ -410,7 +412,7 @@
     call_.reset();
   }
   releaseReplica();
-  // Closes the connection when the answer has not been written whole.
+  // Closes the connection if the answer is incomplete.
   writer_.reset();
 }
 
--- a/src/edge/exchange_refusals.cpp
+++ b/src/edge/exchange_refusals.cpp
@@ -1,4 +1,4 @@
-// Log lines of refusals that were decided elsewhere, with the figures that decided them.
+// Part of `Exchange`: logs refusals with the figures that led to them.
 #include <algorithm>
 #include <string>
 
@@ -9,9 +9,9 @@
 namespace gorsetrail::edge {
 namespace {
 
-/// Lines of one refused search. The partitions that a turn mostly stands in are searched first, so
-/// these tell what a search of all zones would have added little to.
-constexpr std::size_t kMostUnreadPartitions = ledger::kTurnChoices;
+/// Most log lines of one refused history lookup. The most likely partitions are searched first, so
+/// that later ones add little information.
+constexpr std::size_t kMaximumLoggedPartitions = ledger::kTurnChoices;
 
 std::uint64_t percentOf(double share) {
   constexpr double kPercent = 100.0;
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void Exchange::onPlacesTaken(const routing::PlacesTaken& taken) {
+void Exchange::onReplicasBusy(const routing::PlacesTaken& taken) {
   context_.log.refusal("placement_refused", {request_.programId, "replicas_busy"},
                        {{"request", request_.requestId},
                         {"program", request_.programId},
@@ -50,8 +50,8 @@
 }
 
 void Exchange::logHistoryRefused(const ledger::LedgerUnavailable& unavailable) {
-  const std::size_t told = std::min(unavailable.unread.size(), kMostUnreadPartitions);
-  for (std::size_t index = 0; index < told; ++index) {
+  const std::size_t logged = std::min(unavailable.unread.size(), kMaximumLoggedPartitions);
+  for (std::size_t index = 0; index < logged; ++index) {
     const ledger::UnreadPartition& unread = unavailable.unread[index];
     context_.log.refusal("history_refused", {request_.programId, unread.reason},
                          {{"request", request_.requestId},
--- a/src/edge/reach_check.cpp
+++ b/src/edge/reach_check.cpp
@@ -7,13 +7,15 @@
 namespace gorsetrail::edge {
 namespace {
 
-/// To the replica: a lost packet holds one connection up for longer than the check lasts.
+/// Connections opened to the replica. Two, because one lost packet delays a connection beyond the
+/// timeout.
 constexpr int kReplicaConnections = 2;
 
-/// Connections under way; each reports once.
-class ReachCheck {
+/// Combines the results of the connections of one check; each connection reports once.
+class ReachabilityCheck {
  public:
-  explicit ReachCheck(std::function<void(Reach)> callback) : callback_(std::move(callback)) {}
+  explicit ReachabilityCheck(std::function<void(Reachability)> callback)
+      : callback_(std::move(callback)) {}
 
   void onReplica(bool reached) {
     --replicaConnections_;
@@ -33,14 +35,14 @@
       return;
     }
     if (*replicaReached_) {
-      end(Reach::Reached);
+      end(Reachability::Reachable);
     } else if (witnessReached_) {
-      end(*witnessReached_ ? Reach::OutOfReach : Reach::Unknown);
+      end(*witnessReached_ ? Reachability::Unreachable : Reachability::Unknown);
     }
   }
-  void end(Reach reach) { std::exchange(callback_, {})(reach); }
+  void end(Reachability reach) { std::exchange(callback_, {})(reach); }
 
-  std::function<void(Reach)> callback_;
+  std::function<void(Reachability)> callback_;
   int replicaConnections_ = kReplicaConnections;
   std::optional<bool> replicaReached_;
   std::optional<bool> witnessReached_;
@@ -48,28 +50,29 @@
 
 }  // namespace
 
-std::string_view reachName(Reach reach) {
+std::string_view reachabilityName(Reachability reach) {
   switch (reach) {
-    case Reach::Reached:
+    case Reachability::Reachable:
       return "reached";
-    case Reach::OutOfReach:
+    case Reachability::Unreachable:
       return "out_of_reach";
-    case Reach::Unknown:
+    case Reachability::Unknown:
       break;
   }
   return "unknown";
 }
 
-void checkReach(http::HttpClient& client, const std::string& replica, const std::string& witness,
-                Duration limit, std::function<void(Reach)> callback) {
-  const auto check = std::make_shared<ReachCheck>(std::move(callback));
+void checkReachability(http::HttpClient& client, const std::string& replica,
+                       const std::string& witness, Duration timeLimit,
+                       std::function<void(Reachability)> callback) {
+  const auto check = std::make_shared<ReachabilityCheck>(std::move(callback));
   if (witness.empty()) {
     check->onWitness(true);
   } else {
-    client.checkReachable(witness, limit, [check](bool reached) { check->onWitness(reached); });
+    client.checkReachable(witness, timeLimit, [check](bool reached) { check->onWitness(reached); });
   }
   for (int connection = 0; connection < kReplicaConnections; ++connection) {
-    client.checkReachable(replica, limit, [check](bool reached) { check->onReplica(reached); });
+    client.checkReachable(replica, timeLimit, [check](bool reached) { check->onReplica(reached); });
   }
 }
 
--- a/tests/edge/recovery_policy_test.cpp
+++ b/tests/edge/recovery_policy_test.cpp
@@ -1,4 +1,4 @@
-// What follows when a replica did not serve a request, case by case.
+// Guards against duplicate execution and against a wrong claim that a request was not executed.
 #include "edge/recovery_policy.h"
 
 #include <CppUTest/TestHarness.h>
@@ -7,12 +7,12 @@
 
 namespace {
 
-FailedDispatch failedThere(bool mayRunAgain) {
+FailedDispatch interruptedRun(bool mayRerun) {
   FailedDispatch failed;
-  failed.ranThere = true;
+  failed.mayHaveRunThere = true;
   failed.mayHaveRun = true;
-  failed.mayRunAgain = mayRunAgain;
-  failed.mayTryAnother = true;
+  failed.mayRerun = mayRerun;
+  failed.mayTryAnotherReplica = true;
   return failed;
 }
 
@@ -20,50 +20,50 @@
 
 TEST_GROUP(RecoveryPolicy){};
 
-TEST(RecoveryPolicy, runsAgainOnlyWhatMayBeRepeated) {
-  CHECK(RecoveryStep::RunAgain == stepAfter(failedThere(true)));
-  CHECK(RecoveryStep::FailUnknown == stepAfter(failedThere(false)));
+TEST(RecoveryPolicy, rerunsOnlyRequestsThatMayBeRepeated) {
+  CHECK(RecoveryStep::Rerun == nextStep(interruptedRun(true)));
+  CHECK(RecoveryStep::FailWithUnknownState == nextStep(interruptedRun(false)));
 }
 
-TEST(RecoveryPolicy, asksAnotherReplicaWhereItHasNotRun) {
+TEST(RecoveryPolicy, triesAnotherReplicaIfTheRequestHasNotRun) {
   FailedDispatch refused;
-  refused.mayTryAnother = true;
-  CHECK(RecoveryStep::TryAnother == stepAfter(refused));
-  refused.mayTryAnother = false;
-  CHECK(RecoveryStep::Refuse == stepAfter(refused));
+  refused.mayTryAnotherReplica = true;
+  CHECK(RecoveryStep::TryAnotherReplica == nextStep(refused));
+  refused.mayTryAnotherReplica = false;
+  CHECK(RecoveryStep::Refuse == nextStep(refused));
 }
 
-TEST(RecoveryPolicy, neverPromisesNotRunAfterAnEarlierRun) {
+TEST(RecoveryPolicy, neverRefusesAfterAnEarlierRun) {
   FailedDispatch refusedAfterARun;
   refusedAfterARun.mayHaveRun = true;
-  CHECK(RecoveryStep::FailUnknown == stepAfter(refusedAfterARun));
+  CHECK(RecoveryStep::FailWithUnknownState == nextStep(refusedAfterARun));
 }
 
-TEST(RecoveryPolicy, breaksOffWhatTheClientHasPartOf) {
-  FailedDispatch cut = failedThere(false);
-  cut.streamBegun = true;
-  CHECK(RecoveryStep::BreakOff == stepAfter(cut));
+TEST(RecoveryPolicy, abortsAStreamThatTheClientHasPartOf) {
+  FailedDispatch interrupted = interruptedRun(false);
+  interrupted.streamBegun = true;
+  CHECK(RecoveryStep::AbortStream == nextStep(interrupted));
 }
 
-TEST(RecoveryPolicy, asksAFullReplicaAgainOnlyWhereNoOtherMayRunIt) {
+TEST(RecoveryPolicy, retriesABusyReplicaOnlyIfNoOtherIsAllowed) {
   FailedDispatch refused;
   refused.mayHaveRun = true;
-  refused.mayAskAgain = true;
-  CHECK(RecoveryStep::AskAgain == stepAfter(refused));
-  refused.mayTryAnother = true;
-  CHECK(RecoveryStep::TryAnother == stepAfter(refused));
+  refused.mayRetrySameReplica = true;
+  CHECK(RecoveryStep::RetrySameReplica == nextStep(refused));
+  refused.mayTryAnotherReplica = true;
+  CHECK(RecoveryStep::TryAnotherReplica == nextStep(refused));
 }
 
-TEST(RecoveryPolicy, promisesNotRunOnlyWhereNoReplicaMayRunIt) {
+TEST(RecoveryPolicy, impliesNotExecutedOnlyIfNoReplicaMayHaveRunIt) {
   for (const unsigned status : {402U, 408U, 421U, 429U, 503U}) {
-    LONGS_EQUAL(status, truthfulStatus(status, RunKnowledge::NeverSent));
-    LONGS_EQUAL(status, truthfulStatus(status, RunKnowledge::Declined));
-    LONGS_EQUAL(502, truthfulStatus(status, RunKnowledge::Unknown));
+    LONGS_EQUAL(status, statusConsistentWith(status, ExecutionState::NotSent));
+    LONGS_EQUAL(status, statusConsistentWith(status, ExecutionState::NotExecuted));
+    LONGS_EQUAL(502, statusConsistentWith(status, ExecutionState::Unknown));
   }
 }
 
-TEST(RecoveryPolicy, statusesThatPromiseNothingStayAsTheyAre) {
+TEST(RecoveryPolicy, leavesStatusesThatMakeNoClaimUnchanged) {
   for (const unsigned status : {200U, 400U, 404U, 500U, 502U, 504U}) {
-    LONGS_EQUAL(status, truthfulStatus(status, RunKnowledge::Unknown));
+    LONGS_EQUAL(status, statusConsistentWith(status, ExecutionState::Unknown));
   }
 }
