--- a/src/edge/edge_daemon.h
+++ b/src/edge/edge_daemon.h
@@ -106,7 +106,8 @@
   void logReplicaChange(const routing::ReplicaEntry& entry);
   /// Clears a start time that lies too far in this node's future.
   void clearImplausibleStart(routing::ReplicaEntry& entry);
-  /// \return the start of the replica process on this node's clock; see `routing::lifeBeganAt`.
+  /// \return the start of the replica process on this node's clock; see
+  /// `routing::incarnationStartedAt`.
   [[nodiscard]] Instant startTimeOf(const routing::ReplicaEntry& entry) const;
   /// \param before the replica's previous process; null if it was no longer registered.
   void onReplicaRestarted(const routing::ReplicaPtr& before, const routing::Replica& replica);
--- a/src/edge/edge_daemon_followers.cpp
+++ b/src/edge/edge_daemon_followers.cpp
@@ -180,12 +180,13 @@
 void EdgeDaemon::onRegistrationLost(const std::string& id, std::string_view source) {
   // During a store outage replicas could not renew their registrations, so an expired one does not
   // show that the replica is gone.
-  const routing::ReplicaChange change = isOrWasStoreUnavailable()
-                                            ? replicas_.doubt(id, clock_() + settings_.bounds.drain)
-                                            : replicas_.remove(id);
+  const routing::ReplicaChange change =
+      isOrWasStoreUnavailable() ? replicas_.markLapsed(id, clock_() + settings_.bounds.drain)
+                                : replicas_.remove(id);
   if (change != routing::ReplicaChange::None) {
-    const bool doubted = change == routing::ReplicaChange::Doubted;
-    log_.important(doubted ? "replica_doubted" : "replica_gone", {{"replica", id}, {"by", source}});
+    const bool hasLapsed = change == routing::ReplicaChange::Lapsed;
+    log_.important(hasLapsed ? "replica_doubted" : "replica_gone",
+                   {{"replica", id}, {"by", source}});
   }
 }
 
@@ -253,8 +254,9 @@
 }
 
 Instant EdgeDaemon::startTimeOf(const routing::ReplicaEntry& entry) const {
-  return entry.startedAt ? routing::lifeBeganAt(*entry.startedAt, unixTimeMilliseconds(), clock_())
-                         : Instant::max();
+  return entry.startedAt
+             ? routing::incarnationStartedAt(*entry.startedAt, unixTimeMilliseconds(), clock_())
+             : Instant::max();
 }
 
 void EdgeDaemon::onReplicaRestarted(const routing::ReplicaPtr& before,
--- a/src/edge/edge_daemon_peers.cpp
+++ b/src/edge/edge_daemon_peers.cpp
@@ -186,7 +186,7 @@
     fleetLoad_.apply(replicas_, {peers.sameRegion.size(), peers.otherRegions.size()}, clock_());
   }
   updateColdReplicas();
-  for (const std::string& dropped : replicas_.dropDoubtful(clock_())) {
+  for (const std::string& dropped : replicas_.removeLapsed(clock_())) {
     log_.important("replica_gone", {{"replica", dropped}, {"by", "doubt"}});
   }
   timers_->runAfter(kLoadPeriod, [this] { loadLoop(); });
@@ -209,7 +209,8 @@
 
 void EdgeDaemon::updateColdReplicas() {
   std::size_t lines = 0;
-  for (const routing::ColdReplicaChange& change : coldReplicas_.tend(replicas_.all(), clock_())) {
+  for (const routing::ColdReplicaChange& change :
+       coldReplicas_.updateColdStates(replicas_.all(), clock_())) {
     if (++lines > kMaximumColdLines) {
       continue;  // The gauge still counts it.
     }
@@ -217,14 +218,14 @@
                    {{"replica", change.id},
                     {"zone", change.zone},
                     {"for_ms", static_cast<std::uint64_t>(toMilliseconds(change.remaining))},
-                    {"feeder", std::uint64_t{change.isFeeder ? 1U : 0U}}});
+                    {"feeder", std::uint64_t{change.isDesignatedSender ? 1U : 0U}}});
   }
   logColdStateAvailability();
 }
 
 // Logged because the rate that a node may send to possibly cold replicas depends on it.
 void EdgeDaemon::logColdStateAvailability() {
-  const bool isKnown = coldReplicas_.isSure(clock_());
+  const bool isKnown = coldReplicas_.isStateKnown(clock_());
   if (coldReplicas_.limitedReplicas() == 0 || loggedColdKnown_ == isKnown) {
     return;
   }
--- a/src/edge/exchange.h
+++ b/src/edge/exchange.h
@@ -69,7 +69,7 @@
   void send(const routing::ReplicaPtr& replica);
   [[nodiscard]] routing::PlacementQuery placementQuery() const;
   [[nodiscard]] routing::PlacementSubject placementSubject() const;
-  void onReplicasBusy(const routing::PlacesTaken& taken);
+  void onReplicasBusy(const routing::RefusedByAdmission& taken);
   void onNoReplica(const routing::NoReplica& none);
   /// \return the stage of the program, for admission control and quota.
   [[nodiscard]] routing::WorkStage stage() const;
--- a/src/edge/exchange_placement.cpp
+++ b/src/edge/exchange_placement.cpp
@@ -40,7 +40,7 @@
   } else if (const auto* const none = std::get_if<routing::NoReplica>(&placement)) {
     onNoReplica(*none);
   } else {
-    onReplicasBusy(std::get<routing::PlacesTaken>(placement));
+    onReplicasBusy(std::get<routing::RefusedByAdmission>(placement));
   }
 }
 
@@ -49,8 +49,9 @@
     abortAnswer("no_replica_left");
   } else if (mayHaveRun_) {
     failWithUnknownState(kBadGateway, "no_replica_left");
-  } else if (none.bar) {
-    refuse({kUnavailable, std::string(routing::placementBarName(*none.bar)), none.retryAfter});
+  } else if (none.reason) {
+    refuse(
+        {kUnavailable, std::string(routing::exclusionReasonName(*none.reason)), none.retryAfter});
   } else {
     refuse({kUnavailable, "no_replica_free", context_.knobs.retryAfterFull});
   }
--- a/src/edge/exchange_refusals.cpp
+++ b/src/edge/exchange_refusals.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void Exchange::onReplicasBusy(const routing::PlacesTaken& taken) {
+void Exchange::onReplicasBusy(const routing::RefusedByAdmission& taken) {
   context_.log.refusal("placement_refused", {request_.programId, "replicas_busy"},
                        {{"request", request_.requestId},
                         {"program", request_.programId},
--- a/src/edge/exchange_replica.cpp
+++ b/src/edge/exchange_replica.cpp
@@ -314,7 +314,7 @@
     ++context_.counters.resumes;
   }
   ++resumes_;
-  const bool resumes = resumeReplica_ && !context_.placement.barOf(
+  const bool resumes = resumeReplica_ && !context_.placement.exclusionOf(
                                              *resumeReplica_, placementSubject(), context_.clock());
   if (resumes) {
     send(resumeReplica_);
--- a/src/edge/exchange_silence.cpp
+++ b/src/edge/exchange_silence.cpp
@@ -85,7 +85,7 @@
 // A restarted replica's registration is read some time after its start. Requests dispatched in
 // between run at the new incarnation and must neither count as lost nor run a second time.
 void Exchange::followRestartedReplica() {
-  const routing::ReplicaPtr incarnation = routing::lifeAt(replica_, dispatchedAt_);
+  const routing::ReplicaPtr incarnation = routing::incarnationAt(replica_, dispatchedAt_);
   if (incarnation == replica_) {
     return;
   }
--- a/src/edge/replica_runs.cpp
+++ b/src/edge/replica_runs.cpp
@@ -22,7 +22,7 @@
 }
 
 bool ReplicaRuns::mayStillBeRunning(const Run& run) {
-  return run.reachable && !routing::lifeAt(run.replica, run.sentAt)->hasEnded();
+  return run.reachable && !routing::incarnationAt(run.replica, run.sentAt)->hasEnded();
 }
 
 bool ReplicaRuns::mayStillBeRunningAt(const routing::ReplicaPtr& replica) const {
--- a/src/routing/cold_replica_rule.cpp
+++ b/src/routing/cold_replica_rule.cpp
@@ -79,7 +79,7 @@
 }
 
 void ColdReplicaRule::onEvacuationsListed(Instant now) {
-  if (!isSure(now)) {
+  if (!isStateKnown(now)) {
     unknownUntilReadAt_ = now + knobs_.heartbeat + knobs_.margin;
   }
 }
@@ -189,7 +189,7 @@
   return now < replica.coldUntil || zoneReturnedAt_.contains(replica.entry.zone);
 }
 
-bool ColdReplicaRule::isSure(Instant now) const {
+bool ColdReplicaRule::isStateKnown(Instant now) const {
   return freshAt_ >= unknownUntilReadAt_ &&
          now - std::min(freshAt_, evacuationsFreshAt_) < knobs_.staleAfter;
 }
@@ -207,12 +207,12 @@
 
 bool ColdReplicaRule::maySendInUnknownState(const Replica& replica, Instant now) const {
   const UnknownStateSlot slot = unknownStateSlotOf(replica, now);
-  if (!slot.isOpen || !firstTendAt_) {
+  if (!slot.isOpen || !firstUpdateAt_) {
     return false;
   }
   // An earlier process of this node may have sent in the slot in which this one started.
   const auto sent = unknownStateSentAt_.find(replica.entry.id);
-  const Instant usedAt = sent == unknownStateSentAt_.end() ? *firstTendAt_ : sent->second;
+  const Instant usedAt = sent == unknownStateSentAt_.end() ? *firstUpdateAt_ : sent->second;
   return unknownStateSlotOf(replica, usedAt).number != slot.number &&
          members_.isOwnerOf(replica.entry.id, unknownStateSenderCountOf(replica));
 }
@@ -226,7 +226,7 @@
   const auto grantIf = [](bool isAllowed, ColdGrant grant) {
     return isAllowed ? std::optional(grant) : std::nullopt;
   };
-  if (!isSure(now)) {
+  if (!isStateKnown(now)) {
     if (isResponsive(replica, now) && sentInSlot(replica, slotOf(now)) < knobs_.trustedPerSlot) {
       return ColdGrant::Responsive;
     }
@@ -251,14 +251,14 @@
   return grant ? coldGrantName(*grant) : std::string_view();
 }
 
-std::optional<ExclusionReason> ColdReplicaRule::barOf(const Replica& replica,
-                                                      const PlacementSubject& /*subject*/,
-                                                      Instant now) const {
+std::optional<ExclusionReason> ColdReplicaRule::exclusionOf(const Replica& replica,
+                                                            const PlacementSubject& /*subject*/,
+                                                            Instant now) const {
   if (replica.coldRequestsPerSecond <= 0) {
     return std::nullopt;
   }
   // Fast path: the state is known, and the replica is warm.
-  if (isSure(now) && now >= replica.coldUntil && zoneReturnedAt_.empty()) {
+  if (isStateKnown(now) && now >= replica.coldUntil && zoneReturnedAt_.empty()) {
     return std::nullopt;
   }
   if (grantOf(replica, now)) {
@@ -270,11 +270,11 @@
 void ColdReplicaRule::onExcluded(const Replica& /*replica*/) { ++passedOver_; }
 
 void ColdReplicaRule::onSent(const Replica& replica, Instant now) {
-  const bool isUnlimited = isSure(now) && now >= replica.coldUntil && zoneReturnedAt_.empty();
+  const bool isUnlimited = isStateKnown(now) && now >= replica.coldUntil && zoneReturnedAt_.empty();
   if (replica.coldRequestsPerSecond <= 0 || isUnlimited) {
     return;
   }
-  if (!isSure(now)) {
+  if (!isStateKnown(now)) {
     unknownStateSentAt_[replica.entry.id] = now;
   }
   const std::int64_t slot = slotOf(now);
@@ -287,7 +287,7 @@
   }
 }
 
-Duration ColdReplicaRule::retryAfter(ExclusionReason /*bar*/) const { return knobs_.retryAfter; }
+Duration ColdReplicaRule::retryAfter(ExclusionReason /*reason*/) const { return knobs_.retryAfter; }
 
 void ColdReplicaRule::updateReplica(Replica& replica, Instant now,
                                     std::vector<ColdReplicaChange>& changes) {
@@ -296,7 +296,7 @@
   replica.coldRequestsPerSecond = service == nullptr ? 0 : service->coldRequestsPerSecond;
   const bool cold = isCold(replica, now);
   const bool answers = replica.failures == 0 && now - replica.heardAt < knobs_.responsiveWithin;
-  replica.isResponsive = answers && !cold && (replica.isResponsive || isSure(now));
+  replica.isResponsive = answers && !cold && (replica.isResponsive || isStateKnown(now));
   const bool isSender =
       cold && knobs_.sharing == ColdSharing::DesignatedSenders && isSenderOf(replica);
   if (isSender) {
@@ -327,13 +327,13 @@
   });
 }
 
-std::vector<ColdReplicaChange> ColdReplicaRule::tend(const std::vector<ReplicaPtr>& replicas,
-                                                     Instant now) {
+std::vector<ColdReplicaChange> ColdReplicaRule::updateColdStates(
+    const std::vector<ReplicaPtr>& replicas, Instant now) {
   std::vector<ColdReplicaChange> changes;
-  if (!firstTendAt_) {
-    firstTendAt_ = now;
+  if (!firstUpdateAt_) {
+    firstUpdateAt_ = now;
   }
-  if (!isSure(now)) {
+  if (!isStateKnown(now)) {
     members_.update(sources_.members(), ownName_);
   }
   limitedReplicas_ = 0;
--- a/src/routing/cold_replica_rule.h
+++ b/src/routing/cold_replica_rule.h
@@ -105,7 +105,7 @@
   std::string zone;
   bool isCold = false;
   Duration remaining = Duration::zero();  ///< Remaining cold time; zero if unknown.
-  bool isFeeder = false;                  ///< This node is a designated sender of the replica.
+  bool isDesignatedSender = false;        ///< This node is a designated sender of the replica.
 };
 
 /// Enforces the rate limit of cold replicas. A replica counts as cold if its registration says so,
@@ -143,22 +143,23 @@
   void onZoneReturned(const std::string& zone, Instant now);
   /// Updates the state of all replicas. Must be called several times a second and when services
   /// change. \return the changes since the last call.
-  std::vector<ColdReplicaChange> tend(const std::vector<ReplicaPtr>& replicas, Instant now);
+  std::vector<ColdReplicaChange> updateColdStates(const std::vector<ReplicaPtr>& replicas,
+                                                  Instant now);
 
-  [[nodiscard]] std::optional<ExclusionReason> barOf(const Replica& replica,
-                                                     const PlacementSubject& subject,
-                                                     Instant now) const override;
+  [[nodiscard]] std::optional<ExclusionReason> exclusionOf(const Replica& replica,
+                                                           const PlacementSubject& subject,
+                                                           Instant now) const override;
   void onSent(const Replica& replica, Instant now) override;
   [[nodiscard]] std::string_view grantNameOf(const Replica& replica, Instant now) const override;
   void onExcluded(const Replica& replica) override;
-  [[nodiscard]] Duration retryAfter(ExclusionReason bar) const override;
+  [[nodiscard]] Duration retryAfter(ExclusionReason reason) const override;
 
   [[nodiscard]] bool isCold(const Replica& replica, Instant now) const;
   /// \return whether this node knows which replicas are cold.
-  [[nodiscard]] bool isSure(Instant now) const;
-  /// \return the number of cold replicas as of the last `tend`.
+  [[nodiscard]] bool isStateKnown(Instant now) const;
+  /// \return the number of cold replicas as of the last `updateColdStates`.
   [[nodiscard]] std::size_t coldReplicas() const { return cold_.size(); }
-  /// \return the number of replicas with a cold rate limit as of the last `tend`.
+  /// \return the number of replicas with a cold rate limit as of the last `updateColdStates`.
   [[nodiscard]] std::size_t limitedReplicas() const { return limitedReplicas_; }
   /// \return how often this rule excluded a replica from a placement.
   [[nodiscard]] std::uint64_t passedOver() const { return passedOver_; }
@@ -217,8 +218,8 @@
   std::map<std::string, Instant, std::less<>> zoneReturnedAt_;
   std::map<std::string, Bucket, std::less<>> buckets_;  ///< Of replicas that this node sends to.
   std::map<std::string, SlotUse, std::less<>> slots_;
-  std::optional<Instant> firstTendAt_;  ///< Time of the first `tend`.
-  MemberRing members_;                  ///< As of the last `tend` in unknown state.
+  std::optional<Instant> firstUpdateAt_;  ///< Time of the first `updateColdStates`.
+  MemberRing members_;                    ///< As of the last `updateColdStates` in unknown state.
   /// When this node last sent to each replica in unknown state, within the last `unknownStateSlot`.
   std::map<std::string, Instant, std::less<>> unknownStateSentAt_;
   std::map<std::string, bool, std::less<>> cold_;  ///< Id to whether this node is a sender.
--- a/src/routing/evacuation.cpp
+++ b/src/routing/evacuation.cpp
@@ -24,9 +24,9 @@
   return ended;
 }
 
-std::optional<ExclusionReason> EvacuationRule::barOf(const Replica& replica,
-                                                     const PlacementSubject& /*subject*/,
-                                                     Instant /*now*/) const {
+std::optional<ExclusionReason> EvacuationRule::exclusionOf(const Replica& replica,
+                                                           const PlacementSubject& /*subject*/,
+                                                           Instant /*now*/) const {
   if (!table_.isKnown()) {
     return ExclusionReason::EvacuationUnknown;
   }
@@ -36,9 +36,9 @@
   return std::nullopt;
 }
 
-Duration EvacuationRule::retryAfter(ExclusionReason bar) const {
-  return bar == ExclusionReason::EvacuationUnknown ? knobs_.retryAfterUnknown
-                                                   : knobs_.retryAfterEvacuated;
+Duration EvacuationRule::retryAfter(ExclusionReason reason) const {
+  return reason == ExclusionReason::EvacuationUnknown ? knobs_.retryAfterUnknown
+                                                      : knobs_.retryAfterEvacuated;
 }
 
 }  // namespace gorsetrail::routing
--- a/src/routing/evacuation.h
+++ b/src/routing/evacuation.h
@@ -49,10 +49,10 @@
   EvacuationRule(const EvacuationTable& table, EvacuationRuleKnobs knobs)
       : table_(table), knobs_(knobs) {}
 
-  [[nodiscard]] std::optional<ExclusionReason> barOf(const Replica& replica,
-                                                     const PlacementSubject& subject,
-                                                     Instant now) const override;
-  [[nodiscard]] Duration retryAfter(ExclusionReason bar) const override;
+  [[nodiscard]] std::optional<ExclusionReason> exclusionOf(const Replica& replica,
+                                                           const PlacementSubject& subject,
+                                                           Instant now) const override;
+  [[nodiscard]] Duration retryAfter(ExclusionReason reason) const override;
 
  private:
   const EvacuationTable& table_;
--- a/src/routing/placement_rule.h
+++ b/src/routing/placement_rule.h
@@ -21,7 +21,7 @@
 };
 
 /// \return a stable snake_case name for log lines and refusals.
-[[nodiscard]] std::string_view placementBarName(ExclusionReason bar);
+[[nodiscard]] std::string_view exclusionReasonName(ExclusionReason reason);
 
 /// Properties of a request that rules take into account.
 struct PlacementSubject {
@@ -39,9 +39,9 @@
   PlacementRule& operator=(const PlacementRule&) = delete;
 
   /// \return why the replica is excluded; empty if this rule allows it.
-  [[nodiscard]] virtual std::optional<ExclusionReason> barOf(const Replica& replica,
-                                                             const PlacementSubject& subject,
-                                                             Instant now) const = 0;
+  [[nodiscard]] virtual std::optional<ExclusionReason> exclusionOf(const Replica& replica,
+                                                                   const PlacementSubject& subject,
+                                                                   Instant now) const = 0;
   /// Called for each request sent to the replica, so that rules can count requests.
   virtual void onSent(const Replica& /*replica*/, Instant /*now*/) {}
   /// \return the name of the rate limit that admits a request to the replica, for a log line;
@@ -53,7 +53,7 @@
   /// Called once per placement for each replica that this rule excluded.
   virtual void onExcluded(const Replica& /*replica*/) {}
   /// \return the retry delay to tell the client if only this rule prevented the placement.
-  [[nodiscard]] virtual Duration retryAfter(ExclusionReason bar) const = 0;
+  [[nodiscard]] virtual Duration retryAfter(ExclusionReason reason) const = 0;
 };
 
 }  // namespace gorsetrail::routing
--- a/src/routing/region_rule.cpp
+++ b/src/routing/region_rule.cpp
@@ -2,9 +2,9 @@
 
 namespace gorsetrail::routing {
 
-std::optional<ExclusionReason> RegionRule::barOf(const Replica& replica,
-                                                 const PlacementSubject& subject,
-                                                 Instant /*now*/) const {
+std::optional<ExclusionReason> RegionRule::exclusionOf(const Replica& replica,
+                                                       const PlacementSubject& subject,
+                                                       Instant /*now*/) const {
   if (subject.allowedRegions == nullptr ||
       zones_.isIn(replica.entry.zone, *subject.allowedRegions)) {
     return std::nullopt;
@@ -12,6 +12,6 @@
   return ExclusionReason::RegionNotAllowed;
 }
 
-Duration RegionRule::retryAfter(ExclusionReason /*bar*/) const { return knobs_.retryAfter; }
+Duration RegionRule::retryAfter(ExclusionReason /*reason*/) const { return knobs_.retryAfter; }
 
 }  // namespace gorsetrail::routing
--- a/src/routing/region_rule.h
+++ b/src/routing/region_rule.h
@@ -18,10 +18,10 @@
   /// \param zones outlives this object.
   RegionRule(const ZoneTable& zones, RegionRuleKnobs knobs) : zones_(zones), knobs_(knobs) {}
 
-  [[nodiscard]] std::optional<ExclusionReason> barOf(const Replica& replica,
-                                                     const PlacementSubject& subject,
-                                                     Instant now) const override;
-  [[nodiscard]] Duration retryAfter(ExclusionReason bar) const override;
+  [[nodiscard]] std::optional<ExclusionReason> exclusionOf(const Replica& replica,
+                                                           const PlacementSubject& subject,
+                                                           Instant now) const override;
+  [[nodiscard]] Duration retryAfter(ExclusionReason reason) const override;
 
  private:
   const ZoneTable& zones_;
--- a/src/routing/replica_life.cpp
+++ b/src/routing/replica_incarnation.cpp
@@ -1,4 +1,4 @@
-#include "routing/replica_life.h"
+#include "routing/replica_incarnation.h"
 
 #include <algorithm>
 #include <chrono>
@@ -21,15 +21,15 @@
   return start.value() <= unixMilliseconds + static_cast<std::uint64_t>(kMaxLeadMs.count());
 }
 
-Instant lifeBeganAt(ReplicaStart start, std::uint64_t unixMilliseconds, Instant now) {
+Instant incarnationStartedAt(ReplicaStart start, std::uint64_t unixMilliseconds, Instant now) {
   // A start in the future means that the replica's clock is ahead; its age is then zero.
   const std::uint64_t ageMs = unixMilliseconds - std::min(unixMilliseconds, start.value());
   return now - milliseconds(static_cast<Duration::rep>(ageMs)) - kMaxClockSkew;
 }
 
-ReplicaPtr lifeAt(ReplicaPtr replica, Instant sentAt) {
-  while (replica->lifeEnd && sentAt >= replica->lifeEnd->nextBeganAt) {
-    replica = ReplicaPtr(replica->lifeEnd->next);
+ReplicaPtr incarnationAt(ReplicaPtr replica, Instant sentAt) {
+  while (replica->incarnationEnd && sentAt >= replica->incarnationEnd->nextBeganAt) {
+    replica = ReplicaPtr(replica->incarnationEnd->next);
   }
   return replica;
 }
--- a/src/routing/replica_life.h
+++ b/src/routing/replica_incarnation.h
@@ -44,17 +44,19 @@
 
 /// \param unixMilliseconds this node's wall-clock time at `now`.
 /// \return the time by this node's clock from which requests reached the process with that start.
-[[nodiscard]] Instant lifeBeganAt(ReplicaStart start, std::uint64_t unixMilliseconds, Instant now);
+[[nodiscard]] Instant incarnationStartedAt(ReplicaStart start, std::uint64_t unixMilliseconds,
+                                           Instant now);
 
 /// End of an incarnation.
-struct LifeEnd {
+struct IncarnationEnd {
   Instant nextBeganAt;            ///< Requests sent from then on reached the next incarnation.
   std::shared_ptr<Replica> next;  ///< The next incarnation of the same id.
 };
 
 /// \return the incarnation that received a request sent at `sentAt`: the replica itself, or a later
 /// one if the process had restarted before this node learned of it.
-[[nodiscard]] std::shared_ptr<Replica> lifeAt(std::shared_ptr<Replica> replica, Instant sentAt);
+[[nodiscard]] std::shared_ptr<Replica> incarnationAt(std::shared_ptr<Replica> replica,
+                                                     Instant sentAt);
 
 /// Process starts of ids that are no longer registered, so that a late entry does not restore an
 /// ended incarnation. Drops the oldest entries when full.
--- a/src/routing/replica_placement.cpp
+++ b/src/routing/replica_placement.cpp
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-std::string_view placementBarName(ExclusionReason bar) {
-  switch (bar) {
+std::string_view exclusionReasonName(ExclusionReason reason) {
+  switch (reason) {
     case ExclusionReason::Leaving:
       return "replicas_leaving";
     case ExclusionReason::ZoneEvacuated:
@@ -46,18 +46,18 @@
     return Exclusion{ExclusionReason::Leaving, nullptr};
   }
   for (PlacementRule* const rule : rules_) {
-    if (const auto bar = rule->barOf(replica, subject, now)) {
-      return Exclusion{*bar, rule};
+    if (const auto reason = rule->exclusionOf(replica, subject, now)) {
+      return Exclusion{*reason, rule};
     }
   }
   return std::nullopt;
 }
 
-std::optional<ExclusionReason> ReplicaPlacement::barOf(const Replica& replica,
-                                                       const PlacementSubject& subject,
-                                                       Instant now) const {
+std::optional<ExclusionReason> ReplicaPlacement::exclusionOf(const Replica& replica,
+                                                             const PlacementSubject& subject,
+                                                             Instant now) const {
   const std::optional<Exclusion> found = findExclusion(replica, subject, now);
-  return found ? std::optional(found->bar) : std::nullopt;
+  return found ? std::optional(found->reason) : std::nullopt;
 }
 
 ReplicaPtr ReplicaPlacement::witnessFor(const Replica& replica) const {
@@ -92,12 +92,12 @@
     }
     // Replicas outside the allowed regions can never serve the request, so they are reported only
     // if no other rule excluded a replica.
-    const bool isElsewhere = found.bar == ExclusionReason::RegionNotAllowed;
-    const std::size_t count = isElsewhere ? 1 : 1 + ++counts[found.bar];
+    const bool isElsewhere = found.reason == ExclusionReason::RegionNotAllowed;
+    const std::size_t count = isElsewhere ? 1 : 1 + ++counts[found.reason];
     if (count > most) {
       most = count;
-      result.bar = found.bar;
-      result.retryAfter = found.rule->retryAfter(found.bar);
+      result.reason = found.reason;
+      result.retryAfter = found.rule->retryAfter(found.reason);
     }
   }
   return result;
@@ -128,7 +128,7 @@
   if (const ReplicaPtr other = chooseOverflowReplica(query, allowed, now)) {
     return Placed{other};
   }
-  return PlacesTaken{cheapest, leastLoadPerSlotOf(allowed)};
+  return RefusedByAdmission{cheapest, leastLoadPerSlotOf(allowed)};
 }
 
 // Processing a long prompt again costs more than any queue, so the replica that cached it remains
--- a/src/routing/replica_placement.h
+++ b/src/routing/replica_placement.h
@@ -29,7 +29,7 @@
 };
 
 /// Replicas are available, but admission control refused the request.
-struct PlacesTaken {
+struct RefusedByAdmission {
   ReplicaPtr judged;            ///< The cheapest replica, which did not admit the request.
   double leastLoadPerSlot = 0;  ///< Minimum over all replicas that the rules allow.
 };
@@ -37,12 +37,12 @@
 /// The rules exclude all replicas, or there are none.
 struct NoReplica {
   /// The reason that excluded most replicas; unset if no rule excluded any.
-  std::optional<ExclusionReason> bar;
+  std::optional<ExclusionReason> reason;
   /// Retry delay of that rule; zero if no rule excluded a replica.
   Duration retryAfter = Duration::zero();
 };
 
-using Placement = std::variant<Placed, PlacesTaken, NoReplica>;
+using Placement = std::variant<Placed, RefusedByAdmission, NoReplica>;
 
 /// Chooses replicas subject to placement rules and admission control. The constructor's arguments
 /// must outlive this object.
@@ -55,9 +55,9 @@
   [[nodiscard]] Placement place(const PlacementQuery& query, Instant now) const;
   /// \return why the request must not go to this replica; empty if it may. Used to resume a stream
   /// at the replica where it ran.
-  [[nodiscard]] std::optional<ExclusionReason> barOf(const Replica& replica,
-                                                     const PlacementSubject& subject,
-                                                     Instant now) const;
+  [[nodiscard]] std::optional<ExclusionReason> exclusionOf(const Replica& replica,
+                                                           const PlacementSubject& subject,
+                                                           Instant now) const;
   /// \return another replica, of any service, from which this node heard most recently; null if
   /// there is none. If it cannot be reached either, this node's own network link has failed.
   [[nodiscard]] ReplicaPtr witnessFor(const Replica& replica) const;
@@ -68,7 +68,7 @@
  private:
   /// An exclusion and the rule that caused it.
   struct Exclusion {
-    ExclusionReason bar = ExclusionReason::Leaving;
+    ExclusionReason reason = ExclusionReason::Leaving;
     PlacementRule* rule = nullptr;  ///< Null: the replica itself is draining or was removed.
   };
   [[nodiscard]] std::optional<Exclusion> findExclusion(const Replica& replica,
--- a/src/routing/replica_table.cpp
+++ b/src/routing/replica_table.cpp
@@ -58,7 +58,7 @@
   }
   const ReplicaPtr next = add(std::move(entry));
   if (earlier) {
-    earlier->lifeEnd = LifeEnd{beganAt, next};
+    earlier->incarnationEnd = IncarnationEnd{beganAt, next};
   }
   return ReplicaChange::Restarted;
 }
@@ -97,7 +97,7 @@
   return ReplicaChange::Removed;
 }
 
-ReplicaChange ReplicaTable::doubt(std::string_view id, Instant until) {
+ReplicaChange ReplicaTable::markLapsed(std::string_view id, Instant until) {
   const auto found = byId_.find(id);
   if (found == byId_.end() || found->second->entry.draining) {
     return remove(id);
@@ -107,10 +107,10 @@
     return ReplicaChange::None;
   }
   graceUntil = until;
-  return ReplicaChange::Doubted;
+  return ReplicaChange::Lapsed;
 }
 
-std::vector<std::string> ReplicaTable::dropDoubtful(Instant now) {
+std::vector<std::string> ReplicaTable::removeLapsed(Instant now) {
   std::vector<std::string> dropped;
   for (const auto& [id, replica] : byId_) {
     if (replica->graceUntil && *replica->graceUntil <= now) {
--- a/src/routing/replica_table.h
+++ b/src/routing/replica_table.h
@@ -11,7 +11,7 @@
 
 #include "base/time.h"
 #include "routing/outcome_tally.h"
-#include "routing/replica_life.h"
+#include "routing/replica_incarnation.h"
 
 namespace gorsetrail::routing {
 
@@ -35,8 +35,9 @@
 /// flight at it. No state carries over to the next incarnation.
 struct Replica {
   ReplicaEntry entry;
-  bool gone = false;               ///< Deregistered: receives no new requests.
-  std::optional<LifeEnd> lifeEnd;  ///< Set if the process has restarted; `gone` is then also set.
+  bool gone = false;  ///< Deregistered: receives no new requests.
+  /// Set if the process has restarted; `gone` is then also set.
+  std::optional<IncarnationEnd> incarnationEnd;
   /// An earlier registration of this incarnation contained the process start, a newer one did not.
   bool startUntold = false;
   std::uint32_t inFlight = 0;  ///< This node's requests that run or wait there.
@@ -64,7 +65,7 @@
   }
   [[nodiscard]] bool acceptsRequests() const { return !gone && !entry.draining; }
   /// \return whether this incarnation has ended, and all requests at it with it.
-  [[nodiscard]] bool hasEnded() const { return lifeEnd.has_value(); }
+  [[nodiscard]] bool hasEnded() const { return incarnationEnd.has_value(); }
   /// \return the fraction of recent requests of all nodes that failed; 0 below `kMinFailures`.
   [[nodiscard]] double failureShare(Instant now) const {
     const double failed = outcomes.failed(now) + othersFailed;
@@ -84,7 +85,7 @@
   Draining,
   Ready,
   Moved,
-  Doubted,
+  Lapsed,
   Removed,
   Restarted,  ///< The id has a new incarnation; the previous `Replica` has ended.
   Outdated,   ///< The entry belongs to an ended incarnation and was ignored.
@@ -94,15 +95,15 @@
 class ReplicaTable {
  public:
   /// Adds or updates a registration.
-  /// \param beganAt start of a new incarnation, see `lifeBeganAt`. With the default, all earlier
-  /// requests are attributed to the previous incarnation.
+  /// \param beganAt start of a new incarnation, see `incarnationStartedAt`. With the default, all
+  /// earlier requests are attributed to the previous incarnation.
   ReplicaChange upsert(ReplicaEntry entry, Instant beganAt = Instant::max());
   /// Removes a registration; requests in flight keep their `Replica`.
   ReplicaChange remove(std::string_view id);
   /// Keeps a lapsed registration as a last resort until `until`; removes a draining one at once.
-  ReplicaChange doubt(std::string_view id, Instant until);
+  ReplicaChange markLapsed(std::string_view id, Instant until);
   /// Removes lapsed registrations whose grace period has ended. \return the removed ids.
-  std::vector<std::string> dropDoubtful(Instant now);
+  std::vector<std::string> removeLapsed(Instant now);
   /// \return the registered ids that are not in `ids`.
   [[nodiscard]] std::vector<std::string> missingFrom(const std::vector<std::string>& ids) const;
 
--- a/tests/edge/replica_runs_test.cpp
+++ b/tests/edge/replica_runs_test.cpp
@@ -45,13 +45,13 @@
 
 TEST(ReplicaRuns, doesNotCountARunThatEndedWithTheReplicasProcess) {
   runs.recordRun(first, now);
-  first->lifeEnd = routing::LifeEnd{now + seconds(1), second};
+  first->incarnationEnd = routing::IncarnationEnd{now + seconds(1), second};
   CHECK_TRUE(runs.mayRunOnAnotherReplica(1));
 }
 
 TEST(ReplicaRuns, countsARunAtANewIncarnationThatWasNotYetKnown) {
   runs.recordRun(first, now);
-  first->lifeEnd = routing::LifeEnd{now - seconds(1), second};
+  first->incarnationEnd = routing::IncarnationEnd{now - seconds(1), second};
   CHECK_FALSE(runs.mayRunOnAnotherReplica(1));
   runs.recordUnreachable(first);
   CHECK_TRUE(runs.mayRunOnAnotherReplica(1));
--- a/tests/routing/cold_replica_fleet_test.cpp
+++ b/tests/routing/cold_replica_fleet_test.cpp
@@ -312,7 +312,7 @@
       if (scenario_.viewsChangeContinuously) {
         makeView(index);
       }
-      node.rule->tend(node.replicas, now_);
+      node.rule->updateColdStates(node.replicas, now_);
     }
     sendAll(node);
   }
@@ -323,7 +323,7 @@
     }
     for (std::size_t index = 0; index < kReplicas; ++index) {
       const Replica& replica = *node.replicas[index];
-      if (!node.rule->barOf(replica, {}, now_)) {
+      if (!node.rule->exclusionOf(replica, {}, now_)) {
         node.rule->onSent(replica, now_);
         if (!scenario_.isUnresponsiveBefore || now_ >= simulatedReplicas_[index].coldFrom) {
           node.replicas[index]->heardAt = now_;
--- a/tests/routing/cold_replica_rule_test.cpp
+++ b/tests/routing/cold_replica_rule_test.cpp
@@ -44,17 +44,17 @@
   void readStore() {
     rule->onEvacuationsFresh(now);
     rule->onFresh(now);
-    rule->tend({replica}, now);
+    rule->updateColdStates({replica}, now);
   }
   void registers(std::optional<Duration> coldFor, bool isNew = false) {
     replica->entry.coldFor = coldFor;
     rule->onRegistration(*replica, isNew, now);
-    rule->tend({replica}, now);
+    rule->updateColdStates({replica}, now);
   }
-  bool isEligible() { return !rule->barOf(*replica, {}, now); }
+  bool isEligible() { return !rule->exclusionOf(*replica, {}, now); }
   /// Advances time by up to three seconds.
   void waitUntilEligible() {
-    rule->tend({replica}, now);
+    rule->updateColdStates({replica}, now);
     for (const Instant end = now + seconds(3); !isEligible() && now < end;) {
       now += milliseconds(10);
     }
@@ -84,13 +84,13 @@
   registers(seconds(2));
   CHECK_TRUE(isEligible());
   startRule({});  // Nothing has been read from the store.
-  rule->tend({replica}, now);
+  rule->updateColdStates({replica}, now);
   CHECK_TRUE(isEligible());
 }
 
 TEST(ColdReplicaRule, aRegistrationSetsTheRemainingColdTime) {
   registers(seconds(2));
-  CHECK(ExclusionReason::ColdRateExhausted == rule->barOf(*replica, {}, now).value());
+  CHECK(ExclusionReason::ColdRateExhausted == rule->exclusionOf(*replica, {}, now).value());
   CHECK(rule->retryAfter(ExclusionReason::ColdRateExhausted) <= milliseconds(200));
   now += milliseconds(1990);
   readStore();
@@ -133,7 +133,7 @@
 TEST(ColdReplicaRule, aReturnedZoneIsColdUntilNewerRegistrationsHaveBeenRead) {
   registers(Duration::zero());
   rule->onZoneReturned("z", now);
-  rule->tend({replica}, now);
+  rule->updateColdStates({replica}, now);
   CHECK_FALSE(isEligible());
   registers(Duration::zero());  // May have been written before the replica became cold.
   CHECK_FALSE(isEligible());
@@ -181,11 +181,11 @@
     ColdReplicaRule other({}, sources, node, 1);
     replica->entry.coldFor = seconds(3);
     other.onRegistration(*replica, false, now);
-    const auto changes = other.tend({replica}, now);
+    const auto changes = other.updateColdStates({replica}, now);
     LONGS_EQUAL(1, changes.size());
     CHECK_TRUE(changes.front().isCold);
     CHECK(changes.front().remaining == seconds(3));
-    designatedSenders += changes.front().isFeeder ? 1 : 0;
+    designatedSenders += changes.front().isDesignatedSender ? 1 : 0;
   }
   LONGS_EQUAL(4, designatedSenders);
 }
@@ -210,7 +210,7 @@
   query.replica.service = "m";
   query.replica.affinityKey = "p1";
   const auto none = std::get<NoReplica>(placement.place(query, now));
-  CHECK(ExclusionReason::ColdRateExhausted == none.bar.value());
+  CHECK(ExclusionReason::ColdRateExhausted == none.reason.value());
   LONGS_EQUAL(1, rule->passedOver());
   CHECK(std::holds_alternative<NoReplica>(placement.place(query, now)));
   LONGS_EQUAL(2, rule->passedOver());
@@ -239,17 +239,17 @@
 
 TEST(ColdReplicaRule, aNewProcessSendsLittleInUnknownState) {
   startRule({});
-  rule->tend({replica}, now);
+  rule->updateColdStates({replica}, now);
   rule->onEvacuationsListed(now);
   readStore();
   nodes.assign(50, "a");
   const int sent = sendFor(milliseconds(1400));
   CHECK_COMPARE(sent, <=, 3);
   readStore();
-  CHECK_FALSE(rule->isSure(now));
+  CHECK_FALSE(rule->isStateKnown(now));
   now += milliseconds(200);
   readStore();
-  CHECK_TRUE(rule->isSure(now));
+  CHECK_TRUE(rule->isStateKnown(now));
   CHECK_TRUE(isEligible());
 }
 
@@ -262,33 +262,33 @@
   const Instant heardAt = now;
   for (; now < heardAt + seconds(4); now += milliseconds(100)) {
     used->heardAt = now;
-    rule->tend({replica, used}, now);
+    rule->updateColdStates({replica, used}, now);
   }
-  CHECK_FALSE(rule->isSure(now));
-  CHECK(rule->barOf(*replica, {}, now).has_value());
-  CHECK_FALSE(rule->barOf(*used, {}, now).has_value());
+  CHECK_FALSE(rule->isStateKnown(now));
+  CHECK(rule->exclusionOf(*replica, {}, now).has_value());
+  CHECK_FALSE(rule->exclusionOf(*used, {}, now).has_value());
   rule->onSent(*used, now);
-  CHECK(rule->barOf(*used, {}, now).has_value());  // The allowance is one per slot of 500 ms.
+  CHECK(rule->exclusionOf(*used, {}, now).has_value());  // The allowance is one per slot of 500 ms.
   now += milliseconds(500);
-  CHECK_FALSE(rule->barOf(*used, {}, now).has_value());
+  CHECK_FALSE(rule->exclusionOf(*used, {}, now).has_value());
   // A replica that failed may return cold, so responses alone do not restore its use.
   used->failures = 1;
-  rule->tend({replica, used}, now);
+  rule->updateColdStates({replica, used}, now);
   used->failures = 0;
   used->heardAt = now;
-  rule->tend({replica, used}, now);
-  CHECK(rule->barOf(*used, {}, now).has_value());
+  rule->updateColdStates({replica, used}, now);
+  CHECK(rule->exclusionOf(*used, {}, now).has_value());
   rule->onEvacuationsFresh(now);
   rule->onFresh(now);
-  CHECK_FALSE(rule->barOf(*used, {}, now).has_value());
+  CHECK_FALSE(rule->exclusionOf(*used, {}, now).has_value());
 }
 
 TEST(ColdReplicaRule, registrationsAloneDoNotMakeTheStateKnown) {
   now += seconds(4);
   rule->onFresh(now);
-  CHECK_FALSE(rule->isSure(now));
+  CHECK_FALSE(rule->isStateKnown(now));
   rule->onEvacuationsFresh(now);
-  CHECK_TRUE(rule->isSure(now));
+  CHECK_TRUE(rule->isStateKnown(now));
 }
 
 TEST(ColdReplicaRule, staticSharesGiveEveryNodeASmallShare) {
@@ -313,11 +313,11 @@
 TEST(ColdReplicaRule, reportsEachChangeOnce) {
   replica->entry.coldFor = seconds(2);
   rule->onRegistration(*replica, false, now);
-  LONGS_EQUAL(1, rule->tend({replica}, now).size());
-  LONGS_EQUAL(0, rule->tend({replica}, now).size());
+  LONGS_EQUAL(1, rule->updateColdStates({replica}, now).size());
+  LONGS_EQUAL(0, rule->updateColdStates({replica}, now).size());
   LONGS_EQUAL(1, rule->coldReplicas());
   now += seconds(3);
-  const auto changes = rule->tend({replica}, now);
+  const auto changes = rule->updateColdStates({replica}, now);
   LONGS_EQUAL(1, changes.size());
   CHECK_FALSE(changes.front().isCold);
   LONGS_EQUAL(0, rule->coldReplicas());
@@ -326,7 +326,7 @@
 TEST(ColdReplicaRule, dropsRemovedReplicas) {
   registers(seconds(60));
   LONGS_EQUAL(1, rule->coldReplicas());
-  rule->tend({}, now);
+  rule->updateColdStates({}, now);
   LONGS_EQUAL(0, rule->coldReplicas());
 }
 
@@ -349,7 +349,7 @@
     rule = std::make_unique<ColdReplicaRule>(ColdReplicaKnobs{}, sources,
                                              members[static_cast<std::size_t>(node)].name,
                                              1000003ULL * static_cast<std::uint64_t>(node + 1));
-    rule->tend({replica}, now);
+    rule->updateColdStates({replica}, now);
     sent += sendFor(seconds(3));
     now = start;
   }
@@ -364,7 +364,7 @@
     std::optional<Instant> sentAt;
     for (int process = 0; process < 5; ++process) {
       startRule({}, static_cast<std::uint64_t>(trial * 5 + process));
-      rule->tend({replica}, now);
+      rule->updateColdStates({replica}, now);
       const Instant end = now + milliseconds(250 + 190 * ((trial + process) % 8));
       for (; now < end; now += milliseconds(10)) {
         if (isEligible()) {
@@ -386,11 +386,11 @@
   rule->onSent(*replica, now);
   rule->onFresh(now - milliseconds(2990));
   rule->onEvacuationsFresh(now - milliseconds(2990));
-  CHECK_TRUE(rule->isSure(now));
-  rule->tend({replica}, now);
+  CHECK_TRUE(rule->isStateKnown(now));
+  rule->updateColdStates({replica}, now);
   now += milliseconds(20);
-  rule->tend({replica}, now);
-  CHECK_FALSE(rule->isSure(now));
+  rule->updateColdStates({replica}, now);
+  CHECK_FALSE(rule->isStateKnown(now));
   LONGS_EQUAL(0, sendFor(milliseconds(970)));
 }
 
@@ -398,7 +398,7 @@
   nodes.clear();
   members.clear();
   startRule({});
-  rule->tend({replica}, now);
+  rule->updateColdStates({replica}, now);
   CHECK(sendFor(seconds(1)) <= 1);
 }
 
@@ -421,16 +421,16 @@
   nodes = {"b"};
   replica->entry.coldFor = seconds(60);
   rule->onRegistration(*replica, false, now);
-  auto changes = rule->tend({replica}, now);
+  auto changes = rule->updateColdStates({replica}, now);
   LONGS_EQUAL(1, changes.size());
-  CHECK_FALSE(changes.front().isFeeder);
+  CHECK_FALSE(changes.front().isDesignatedSender);
   nodes = {"a"};
-  changes = rule->tend({replica}, now);
+  changes = rule->updateColdStates({replica}, now);
   LONGS_EQUAL(1, changes.size());
-  CHECK_TRUE(changes.front().isCold && changes.front().isFeeder);
+  CHECK_TRUE(changes.front().isCold && changes.front().isDesignatedSender);
   nodes = {"b"};
-  changes = rule->tend({replica}, now);
+  changes = rule->updateColdStates({replica}, now);
   LONGS_EQUAL(1, changes.size());
-  CHECK_TRUE(changes.front().isCold && !changes.front().isFeeder);
-  LONGS_EQUAL(0, rule->tend({replica}, now).size());
+  CHECK_TRUE(changes.front().isCold && !changes.front().isDesignatedSender);
+  LONGS_EQUAL(0, rule->updateColdStates({replica}, now).size());
 }
--- a/tests/routing/evacuation_test.cpp
+++ b/tests/routing/evacuation_test.cpp
@@ -11,20 +11,20 @@
   EvacuationRule rule{table, {}};
   Instant now{seconds(100)};
 
-  std::optional<ExclusionReason> barOf(const std::string& zone) {
+  std::optional<ExclusionReason> exclusionOf(const std::string& zone) {
     Replica replica;
     replica.entry.zone = zone;
-    return rule.barOf(replica, {}, now);
+    return rule.exclusionOf(replica, {}, now);
   }
 };
 
 TEST(Evacuation, excludesEveryReplicaBeforeTheFirstCompleteListing) {
-  CHECK(ExclusionReason::EvacuationUnknown == barOf("a").value());
+  CHECK(ExclusionReason::EvacuationUnknown == exclusionOf("a").value());
   CHECK_TRUE(table.onEvacuated("a", now));  // One page is not a complete listing.
-  CHECK(ExclusionReason::EvacuationUnknown == barOf("b").value());
+  CHECK(ExclusionReason::EvacuationUnknown == exclusionOf("b").value());
   CHECK_TRUE(table.onListed({"a"}).empty());
-  CHECK(ExclusionReason::ZoneEvacuated == barOf("a").value());
-  CHECK_FALSE(barOf("b").has_value());
+  CHECK(ExclusionReason::ZoneEvacuated == exclusionOf("a").value());
+  CHECK_FALSE(exclusionOf("b").has_value());
 }
 
 TEST(Evacuation, excludesSeveralZonesAndEndsEachByItsOwnRecord) {
@@ -34,8 +34,8 @@
   CHECK_FALSE(table.onEvacuated("a", now + seconds(1)));  // A repeated record.
   CHECK_TRUE(table.onTakenBack("a"));
   CHECK_FALSE(table.onTakenBack("a"));
-  CHECK_FALSE(barOf("a").has_value());
-  CHECK(ExclusionReason::ZoneEvacuated == barOf("b").value());
+  CHECK_FALSE(exclusionOf("a").has_value());
+  CHECK(ExclusionReason::ZoneEvacuated == exclusionOf("b").value());
 }
 
 TEST(Evacuation, endsTheEvacuationOfAZoneThatACompleteListingOmits) {
@@ -45,8 +45,8 @@
   const std::vector<std::string> ended = table.onListed({"b", "c"});
   LONGS_EQUAL(1, ended.size());
   STRCMP_EQUAL("a", ended.front().c_str());
-  CHECK_FALSE(barOf("a").has_value());
-  CHECK(ExclusionReason::ZoneEvacuated == barOf("b").value());
+  CHECK_FALSE(exclusionOf("a").has_value());
+  CHECK(ExclusionReason::ZoneEvacuated == exclusionOf("b").value());
 }
 
 TEST(Evacuation, keepsTheTimeOfTheFirstRecord) {
--- a/tests/routing/region_rule_test.cpp
+++ b/tests/routing/region_rule_test.cpp
@@ -23,10 +23,10 @@
   Instant now{seconds(100)};
 
   void setup() override { evacuations.onListed({}); }
-  std::optional<ExclusionReason> barOf(const std::string& zone, const RegionSet* regions) {
+  std::optional<ExclusionReason> exclusionOf(const std::string& zone, const RegionSet* regions) {
     Replica replica;
     replica.entry.zone = zone;
-    return rule.barOf(replica, {regions}, now);
+    return rule.exclusionOf(replica, {regions}, now);
   }
   ReplicaPtr add(const std::string& id, const std::string& zone) {
     ReplicaEntry entry;
@@ -46,11 +46,11 @@
 };
 
 TEST(RegionRule, allowsOnlyReplicasInAllowedRegions) {
-  CHECK_FALSE(barOf("wa", &west).has_value());
-  CHECK(ExclusionReason::RegionNotAllowed == barOf("ea", &west).value());
-  CHECK(ExclusionReason::RegionNotAllowed == barOf("unknown", &west).value());
-  CHECK(ExclusionReason::RegionNotAllowed == barOf("wa", &none).value());
-  CHECK_FALSE(barOf("unknown", nullptr).has_value());
+  CHECK_FALSE(exclusionOf("wa", &west).has_value());
+  CHECK(ExclusionReason::RegionNotAllowed == exclusionOf("ea", &west).value());
+  CHECK(ExclusionReason::RegionNotAllowed == exclusionOf("unknown", &west).value());
+  CHECK(ExclusionReason::RegionNotAllowed == exclusionOf("wa", &none).value());
+  CHECK_FALSE(exclusionOf("unknown", nullptr).has_value());
 }
 
 TEST(RegionRule, usesARemoteReplicaIfOnlyItsRegionIsAllowed) {
@@ -62,7 +62,7 @@
 TEST(RegionRule, isReportedIfTheAllowedRegionsHaveNoReplica) {
   add("near", "ea");
   const auto refused = std::get<NoReplica>(place(&west));
-  CHECK(ExclusionReason::RegionNotAllowed == refused.bar.value());
+  CHECK(ExclusionReason::RegionNotAllowed == refused.reason.value());
   CHECK(refused.retryAfter > Duration::zero());
 }
 
@@ -73,5 +73,5 @@
   add("far", "wa");
   evacuations.onEvacuated("wa", now);
   evacuations.onEvacuated("ea", now);
-  CHECK(ExclusionReason::ZoneEvacuated == std::get<NoReplica>(place(&west)).bar.value());
+  CHECK(ExclusionReason::ZoneEvacuated == std::get<NoReplica>(place(&west)).reason.value());
 }
--- a/tests/routing/replica_life_test.cpp
+++ b/tests/routing/replica_life_test.cpp
@@ -1,6 +1,6 @@
 // Incarnations of one id: no state survives a restart in the table, in digests or in the rule for
 // cold replicas, and a late entry of an earlier incarnation is ignored.
-#include "routing/replica_life.h"
+#include "routing/replica_incarnation.h"
 
 #include <memory>
 #include <string>
@@ -62,9 +62,9 @@
 
 TEST(ReplicaLife, convertsAStartToThisNodesClock) {
   const ReplicaStart start(kFirstStart);
-  CHECK(lifeBeganAt(start, kFirstStart + 5000, now) == now - seconds(5) - kMaxClockSkew);
+  CHECK(incarnationStartedAt(start, kFirstStart + 5000, now) == now - seconds(5) - kMaxClockSkew);
   // The replica's clock is ahead: the result is not later than now.
-  CHECK(lifeBeganAt(start, kFirstStart - 5000, now) == now - kMaxClockSkew);
+  CHECK(incarnationStartedAt(start, kFirstStart - 5000, now) == now - kMaxClockSkew);
 }
 
 TEST(ReplicaLife, rejectsAStartFarAheadOfThisNodesClock) {
@@ -132,7 +132,7 @@
 TEST(ReplicaLife, ignoresAnEntryOfAnEarlierIncarnation) {
   table.upsert(entryOf(kSecondStart, "10.0.0.2:80"));
   const ReplicaPtr replica = only();
-  table.doubt("a", now);
+  table.markLapsed("a", now);
   ReplicaEntry late = entryOf(kFirstStart);
   late.draining = true;
   CHECK(table.upsert(late) == ReplicaChange::Outdated);
@@ -166,9 +166,9 @@
 
 TEST(ReplicaLife, aRestartEndsTheGracePeriod) {
   table.upsert(entryOf(kFirstStart));
-  table.doubt("a", now);
+  table.markLapsed("a", now);
   table.upsert(entryOf(kSecondStart));
-  CHECK(table.dropDoubtful(now + seconds(9)).empty());
+  CHECK(table.removeLapsed(now + seconds(9)).empty());
   CHECK_FALSE(only()->graceUntil.has_value());
 }
 
@@ -217,9 +217,9 @@
   const ReplicaPtr second = only();
   table.upsert(entryOf(kThirdStart), now + seconds(2));
   const ReplicaPtr third = only();
-  CHECK(lifeAt(first, now - seconds(1)) == first);
-  CHECK(lifeAt(first, now + seconds(1)) == second);
-  CHECK(lifeAt(first, now + seconds(2)) == third);
+  CHECK(incarnationAt(first, now - seconds(1)) == first);
+  CHECK(incarnationAt(first, now + seconds(1)) == second);
+  CHECK(incarnationAt(first, now + seconds(2)) == third);
   CHECK_TRUE(second->hasEnded());
 }
 
@@ -257,11 +257,11 @@
   evacuations.onEvacuated("z", now);
   evacuations.onListed({"z"});
   table.upsert(entryOf(kFirstStart, "10.0.0.1:80", "z"));
-  CHECK_TRUE(rule.barOf(*only(), {}, now).has_value());
+  CHECK_TRUE(rule.exclusionOf(*only(), {}, now).has_value());
   table.upsert(entryOf(kSecondStart, "10.0.0.2:80", "y"));
-  CHECK_FALSE(rule.barOf(*only(), {}, now).has_value());
+  CHECK_FALSE(rule.exclusionOf(*only(), {}, now).has_value());
   table.upsert(entryOf(kThirdStart, "10.0.0.1:80", "z"));
-  CHECK_TRUE(rule.barOf(*only(), {}, now).has_value());
+  CHECK_TRUE(rule.exclusionOf(*only(), {}, now).has_value());
 }
 
 TEST_GROUP(ColdReplicaLife) {
@@ -295,7 +295,7 @@
     rule->onRegistration(*replica, replica != before, now);
     return replica;
   }
-  std::size_t changes() { return rule->tend(table.all(), now).size(); }
+  std::size_t changes() { return rule->updateColdStates(table.all(), now).size(); }
 };
 
 TEST(ColdReplicaLife, aWarmReplicaIsColdAfterARestart) {
@@ -311,13 +311,13 @@
   LONGS_EQUAL(1, changes());
   now += milliseconds(900);
   CHECK_FALSE(
-      rule->barOf(*table.find("a"), {}, now).has_value());  // The bucket has gained a token.
+      rule->exclusionOf(*table.find("a"), {}, now).has_value());  // The bucket has gained a token.
   registers(kSecondStart, seconds(3));
-  CHECK_TRUE(rule->barOf(*table.find("a"), {}, now).has_value());
+  CHECK_TRUE(rule->exclusionOf(*table.find("a"), {}, now).has_value());
   LONGS_EQUAL(1, changes());  // Reported again for the new incarnation.
-  CHECK_TRUE(rule->barOf(*table.find("a"), {}, now).has_value());
+  CHECK_TRUE(rule->exclusionOf(*table.find("a"), {}, now).has_value());
   now += milliseconds(900);
-  CHECK_FALSE(rule->barOf(*table.find("a"), {}, now).has_value());
+  CHECK_FALSE(rule->exclusionOf(*table.find("a"), {}, now).has_value());
 }
 
 TEST(ColdReplicaLife, aRestartedReplicaIsNotResponsiveInUnknownState) {
--- a/tests/routing/replica_placement_test.cpp
+++ b/tests/routing/replica_placement_test.cpp
@@ -19,22 +19,23 @@
 /// Excludes the replicas of one zone.
 class ZoneRule final : public PlacementRule {
  public:
-  ZoneRule(std::string zone, ExclusionReason bar, Duration retryAfter)
-      : zone_(std::move(zone)), bar_(bar), retryAfter_(retryAfter) {}
-  std::optional<ExclusionReason> barOf(const Replica& replica, const PlacementSubject& /*subject*/,
-                                       Instant /*now*/) const override {
+  ZoneRule(std::string zone, ExclusionReason reason, Duration retryAfter)
+      : zone_(std::move(zone)), reason_(reason), retryAfter_(retryAfter) {}
+  std::optional<ExclusionReason> exclusionOf(const Replica& replica,
+                                             const PlacementSubject& /*subject*/,
+                                             Instant /*now*/) const override {
     ++asked[replica.entry.id];
-    return replica.entry.zone == zone_ ? std::optional(bar_) : std::nullopt;
+    return replica.entry.zone == zone_ ? std::optional(reason_) : std::nullopt;
   }
   void onSent(const Replica& /*replica*/, Instant /*now*/) override { ++sent; }
-  Duration retryAfter(ExclusionReason /*bar*/) const override { return retryAfter_; }
+  Duration retryAfter(ExclusionReason /*reason*/) const override { return retryAfter_; }
 
   int sent = 0;
   mutable std::map<std::string, int> asked;  ///< Number of calls, by replica id.
 
  private:
   std::string zone_;
-  ExclusionReason bar_;
+  ExclusionReason reason_;
   Duration retryAfter_;
 };
 
@@ -79,14 +80,14 @@
   add("a2", "a");
   add("b1", "b");
   const auto none = std::get<NoReplica>(placement.place(query(), now));
-  CHECK(ExclusionReason::ZoneEvacuated == none.bar.value());
+  CHECK(ExclusionReason::ZoneEvacuated == none.reason.value());
   CHECK(milliseconds(700) == none.retryAfter);
 }
 
 TEST(ReplicaPlacement, reportsNoRuleIfReplicasAreOnlyDraining) {
   add("a1", "c")->entry.draining = true;
   const auto none = std::get<NoReplica>(placement.place(query(), now));
-  CHECK_FALSE(none.bar.has_value());
+  CHECK_FALSE(none.reason.has_value());
 }
 
 TEST(ReplicaPlacement, appliesTheSameRulesToResumedStreams) {
@@ -94,9 +95,9 @@
   const ReplicaPtr leaving = add("c1", "c");
   const ReplicaPtr free = add("c2", "c");
   leaving->gone = true;
-  CHECK(ExclusionReason::ZoneEvacuated == placement.barOf(*evacuated, {}, now).value());
-  CHECK(ExclusionReason::Leaving == placement.barOf(*leaving, {}, now).value());
-  CHECK_FALSE(placement.barOf(*free, {}, now).has_value());
+  CHECK(ExclusionReason::ZoneEvacuated == placement.exclusionOf(*evacuated, {}, now).value());
+  CHECK(ExclusionReason::Leaving == placement.exclusionOf(*leaving, {}, now).value());
+  CHECK_FALSE(placement.exclusionOf(*free, {}, now).has_value());
 }
 
 TEST(ReplicaPlacement, notifiesAllRulesOfSentRequests) {
@@ -111,7 +112,7 @@
   busy->inFlight = 40;
   PlacementQuery firstTurnQuery = query();
   firstTurnQuery.admission = AdmissionRequest{WorkStage::FirstTurn, 5};
-  CHECK(std::holds_alternative<PlacesTaken>(withoutRules.place(firstTurnQuery, now)));
+  CHECK(std::holds_alternative<RefusedByAdmission>(withoutRules.place(firstTurnQuery, now)));
   CHECK(std::holds_alternative<Placed>(withoutRules.place(query(), now)));
 }
 
@@ -224,7 +225,7 @@
   CHECK_TRUE(refused > kAttempts * 7 / 10 && refused < kAttempts * 8 / 10);
   PlacementQuery turn = longTurn("program", "q0");
   turn.admission->stage = WorkStage::FirstTurn;
-  const auto taken = std::get<PlacesTaken>(withoutRules.place(turn, now));
+  const auto taken = std::get<RefusedByAdmission>(withoutRules.place(turn, now));
   POINTERS_EQUAL(preferred.get(), taken.judged.get());
   DOUBLES_EQUAL(0.75, taken.leastLoadPerSlot, 1e-9);
 }
--- a/tests/routing/replica_table_test.cpp
+++ b/tests/routing/replica_table_test.cpp
@@ -60,20 +60,20 @@
 TEST(ReplicaTable, aDoubtedReplicaStaysUntilItsTimeIsOver) {
   const Instant now{seconds(100)};
   table.upsert(entryOf("a", "s"));
-  CHECK(table.doubt("a", now + seconds(2)) == ReplicaChange::Doubted);
-  CHECK(table.doubt("a", now + seconds(9)) == ReplicaChange::None);
+  CHECK(table.markLapsed("a", now + seconds(2)) == ReplicaChange::Lapsed);
+  CHECK(table.markLapsed("a", now + seconds(9)) == ReplicaChange::None);
   CHECK_TRUE(table.ofService("s").front()->acceptsRequests());
-  CHECK(table.dropDoubtful(now + seconds(1)).empty());
-  LONGS_EQUAL(1, table.dropDoubtful(now + seconds(2)).size());
+  CHECK(table.removeLapsed(now + seconds(1)).empty());
+  LONGS_EQUAL(1, table.removeLapsed(now + seconds(2)).size());
   CHECK(table.ofService("s").empty());
 }
 
 TEST(ReplicaTable, aNewRegistrationEndsTheGracePeriod) {
   const Instant now{seconds(100)};
   table.upsert(entryOf("a", "s"));
-  table.doubt("a", now + seconds(2));
+  table.markLapsed("a", now + seconds(2));
   table.upsert(entryOf("a", "s"));
-  CHECK(table.dropDoubtful(now + seconds(9)).empty());
+  CHECK(table.removeLapsed(now + seconds(9)).empty());
   LONGS_EQUAL(1, table.size());
 }
 
@@ -81,6 +81,6 @@
   ReplicaEntry entry = entryOf("a", "s");
   entry.draining = true;
   table.upsert(entry);
-  CHECK(table.doubt("a", Instant{seconds(100)}) == ReplicaChange::Removed);
+  CHECK(table.markLapsed("a", Instant{seconds(100)}) == ReplicaChange::Removed);
   LONGS_EQUAL(0, table.size());
 }
