--- a/src/edge/edge_daemon.cpp
+++ b/src/edge/edge_daemon.cpp
@@ -116,7 +116,7 @@
       localLedger_(store_, *timers_, clock_, ledgerKnobs(seed)),
       ledgerService_(localLedger_),
       ledgerPeers_(
-          parts_.peers, [this] { return membersListed_; }, [this] { return ledgerHomes(); }),
+          parts_.peers, [this] { return membersListed_; }, [this] { return ledgerCandidates(); }),
       ledger_(ledgerService_, ledgerPeers_, *timers_, clock_, routedLedgerKnobs(), seed),
       ledgerServer_(ledgerService_),
       routes_(seed),
@@ -177,7 +177,7 @@
   if (!settings_.uses(Mechanism::SecondPartitions)) {
     knobs.usesSecondPartitions = false;
   }
-  knobs.onSilence = [this](const std::string& address, bool isUnresponsive) {
+  knobs.onSuspicionChanged = [this](const std::string& address, bool isUnresponsive) {
     log_.important(isUnresponsive ? "node_silent" : "node_answers", {{"address", address}});
   };
   return knobs;
@@ -185,8 +185,8 @@
 
 QuotaSources EdgeDaemon::quotaSources() {
   QuotaSources sources;
-  sources.candidates = [this]() -> const std::vector<ledger::HomeCandidate>& {
-    return ledgerHomes();
+  sources.candidates = [this]() -> const std::vector<ledger::NodeCandidate>& {
+    return ledgerCandidates();
   };
   sources.members = [this] { return members_.relayAddresses(); };
   sources.memberCount = [this] { return membersListed_ ? members_.size() : 0; };
@@ -201,7 +201,7 @@
 TopicReaderSources EdgeDaemon::topicReaderSources() {
   TopicReaderSources sources;
   sources.candidates = [this] {
-    return capableNodes(nearestNodes(ledgerHomes(), settings_.zone, zones_));
+    return capableNodes(nearestNodes(ledgerCandidates(), settings_.zone, zones_));
   };
   sources.claimedReader = [this] { return topicReaders_.reader(); };
   sources.isClaimedReader = [this] { return topicReaders_.isReader(); };
@@ -425,9 +425,9 @@
 
 void EdgeDaemon::leaseLoop() {
   if (stopping_) {
-    ledger_.giveLeasesBack();
+    ledger_.releaseLeases();
   } else {
-    ledger_.tendLeases();
+    ledger_.maintainLeases();
   }
   timers_->runAfter(stopping_ ? kStopCheckPeriod : kLeasePeriod, [this] { leaseLoop(); });
 }
--- a/src/edge/edge_daemon.h
+++ b/src/edge/edge_daemon.h
@@ -153,14 +153,14 @@
   /// \return the regions besides its own that a client of this host may be sent to; null: any.
   [[nodiscard]] const routing::RegionSet* allowedRegionsOf(const std::string& host) const;
   /// \return the nodes that may host ledger partitions; empty until the members have been listed.
-  [[nodiscard]] const std::vector<ledger::HomeCandidate>& ledgerHomes();
+  [[nodiscard]] const std::vector<ledger::NodeCandidate>& ledgerCandidates();
   [[nodiscard]] QuotaSources quotaSources();
   [[nodiscard]] TopicReaderSources topicReaderSources();
   /// \return the member record that this node announces.
   [[nodiscard]] MemberRecord ownRecord() const;
   /// \return nodes that may batch announcements; the zone's claimed reader while no member of the
   /// zone is known.
-  [[nodiscard]] std::vector<ledger::HomeCandidate> announcementAggregators();
+  [[nodiscard]] std::vector<ledger::NodeCandidate> announcementAggregators();
   [[nodiscard]] quota::QuotaAdmission& selectQuotaAdmission();
   void onStorePathChanged(logstore::StoreWay way);
   void onPeerState(const std::string& ip, membership::MemberState state);
@@ -228,8 +228,8 @@
   bool replicasListed_ = false;
   /// Registrations whose start time lies in this node's future.
   std::uint64_t implausibleStarts_ = 0;
-  std::vector<ledger::HomeCandidate> ledgerHomes_;  ///< Cached at `ledgerHomesAt_`.
-  Instant ledgerHomesAt_;
+  std::vector<ledger::NodeCandidate> ledgerCandidates_;  ///< Cached at `ledgerCandidatesAt_`.
+  Instant ledgerCandidatesAt_;
   LoadPeers loadPeers_;  ///< Cached at `loadPeersAt_`.
   /// Client addresses of the nodes that serve clients; cached at `loadPeersAt_`.
   std::vector<std::string> clientNodeAddresses_;
--- a/src/edge/edge_daemon_figures.cpp
+++ b/src/edge/edge_daemon_figures.cpp
@@ -19,8 +19,8 @@
   values.ledgerCallsForwarded = calls.passedOn;
   values.ledgerCallsFailed = calls.failed;
   const ledger::BudgetCounters budgets = localLedger_.budgetCounters();
-  values.reservationsGrantedAhead = budgets.grantedAhead;
-  values.reservationsGrantedAheadSecondary = budgets.grantedAheadSecondary;
+  values.reservationsGrantedAhead = budgets.grantedUnderPrimaryLease;
+  values.reservationsGrantedAheadSecondary = budgets.grantedUnderSecondaryLease;
   values.reservationsGrantedByLog = budgets.grantedByLog;
   values.reservationsSpent = budgets.spent;
   values.reservationsUncertain = budgets.uncertain + budgets.decidedTooLate;
--- a/src/edge/edge_daemon_followers.cpp
+++ b/src/edge/edge_daemon_followers.cpp
@@ -331,8 +331,8 @@
     unreadableRecords_.onListed(RecordKind::Member, keys);
     log_.important("members_listed", {{"count", std::uint64_t{keys.size()}}});
     if (!stopping_) {
-      ledger_.tendLeases();  // Immediately, because the store may become unavailable before the
-                             // next run of `leaseLoop`.
+      ledger_.maintainLeases();  // Immediately, because the store may become unavailable before the
+                                 // next run of `leaseLoop`.
     }
   };
   observer.onFresh = [this](Instant askedAt) {
--- a/src/edge/edge_daemon_peers.cpp
+++ b/src/edge/edge_daemon_peers.cpp
@@ -24,7 +24,7 @@
 constexpr Duration kLoadPeersCacheTime = milliseconds(500);
 /// Lifetime of the cached host candidates; otherwise each ledger call would rebuild the list from
 /// all members.
-constexpr Duration kLedgerHomesCacheTime = milliseconds(50);
+constexpr Duration kLedgerCandidatesCacheTime = milliseconds(50);
 
 /// Limit of log lines in one scan of the replicas: the return of a zone changes all its replicas at
 /// once.
@@ -90,19 +90,19 @@
   return addresses;
 }
 
-const std::vector<ledger::HomeCandidate>& EdgeDaemon::ledgerHomes() {
+const std::vector<ledger::NodeCandidate>& EdgeDaemon::ledgerCandidates() {
   const Instant now = clock_();
-  if (!membersListed_ || now - ledgerHomesAt_ < kLedgerHomesCacheTime) {
-    return ledgerHomes_;
+  if (!membersListed_ || now - ledgerCandidatesAt_ < kLedgerCandidatesCacheTime) {
+    return ledgerCandidates_;
   }
-  ledgerHomesAt_ = now;
-  ledgerHomes_.clear();
+  ledgerCandidatesAt_ = now;
+  ledgerCandidates_.clear();
   for (const MemberRecord& member : members_.liveMembers()) {
     if (!member.relayAddress.empty() && !member.leaving) {
-      ledgerHomes_.push_back({member.relayAddress, member.zone, member.capacity});
+      ledgerCandidates_.push_back({member.relayAddress, member.zone, member.capacity});
     }
   }
-  return ledgerHomes_;
+  return ledgerCandidates_;
 }
 
 MemberRecord EdgeDaemon::ownRecord() const {
@@ -115,11 +115,11 @@
           capacityOf(settings_)};
 }
 
-std::vector<ledger::HomeCandidate> EdgeDaemon::announcementAggregators() {
-  const std::vector<ledger::HomeCandidate>& members = ledgerHomes();
+std::vector<ledger::NodeCandidate> EdgeDaemon::announcementAggregators() {
+  const std::vector<ledger::NodeCandidate>& members = ledgerCandidates();
   const bool hasZone = std::any_of(
       members.begin(), members.end(),
-      [this](const ledger::HomeCandidate& member) { return member.zone == settings_.zone; });
+      [this](const ledger::NodeCandidate& member) { return member.zone == settings_.zone; });
   const std::string reader = topicReaders_.reader();
   if (hasZone || reader.empty()) {
     return members;
--- a/src/edge/edge_knobs.cpp
+++ b/src/edge/edge_knobs.cpp
@@ -15,7 +15,7 @@
 }
 
 double capacityOf(const EdgeSettings& settings) {
-  // With a link of at least this bandwidth the CPU, not the link, limits a ledger host.
+  // With a link of at least this bandwidth the CPU, not the link, limits a coordinator.
   constexpr double kReferenceLinkMegabitsPerSecond = 1000;
   const double link =
       std::min(1.0, settings.linkMegabitsPerSecond / kReferenceLinkMegabitsPerSecond);
@@ -30,7 +30,7 @@
   knobs.maximumRecordBytes = settings.store.maximumRecordBytes;
   knobs.cacheBytes = settings.memoryBytes / kShareOfMemory;
   knobs.budgets.holder = relayAddressOf(settings);
-  knobs.budgets.life = std::to_string(incarnation);
+  knobs.budgets.incarnation = std::to_string(incarnation);
   knobs.budgets.leases.enabled = settings.uses(Mechanism::BudgetLeases);
   return knobs;
 }
--- a/src/edge/edge_knobs.h
+++ b/src/edge/edge_knobs.h
@@ -19,7 +19,7 @@
 std::string relayAddressOf(const EdgeSettings& settings);
 
 /// \return this node's relative weight when nodes share work: its share of a core, scaled down for
-/// narrow links, because ledger hosts and topic readers transfer data for other nodes.
+/// narrow links, because coordinators and topic readers transfer data for other nodes.
 double capacityOf(const EdgeSettings& settings);
 
 /// \param incarnation unique for each process.
--- a/src/edge/exchange.cpp
+++ b/src/edge/exchange.cpp
@@ -88,7 +88,7 @@
 bool Exchange::isPersistedTurn() const { return isStreaming() && checked_.route->persisted; }
 
 bool Exchange::isStoreAvailableForTurn() const {
-  return context_.ledger.takesTurn({checked_.turnName, checked_.turnZones()});
+  return context_.ledger.canStoreTurn({checked_.turnName, checked_.turnZones()});
 }
 
 bool Exchange::admitPersistedTurn(std::size_t bytes) {
@@ -173,7 +173,7 @@
     dispatch();
     return;
   }
-  const std::uint64_t known = context_.ledger.knownUse(checked_.programName);
+  const std::uint64_t known = context_.ledger.knownTokenUse(checked_.programName);
   const std::uint64_t tokensNeeded = request_.maximumTokens * context_.knobs.ampleBudgetTurns;
   const bool ample = known + tokensNeeded <= *request_.tokenBudget;
   // With ample known budget the request is dispatched in parallel with the reservation. If the
--- a/src/edge/exchange_placement.cpp
+++ b/src/edge/exchange_placement.cpp
@@ -58,7 +58,7 @@
 }
 
 routing::WorkStage Exchange::stage() const {
-  const std::uint64_t known = context_.ledger.knownUse(checked_.programName);
+  const std::uint64_t known = context_.ledger.knownTokenUse(checked_.programName);
   const double budget = static_cast<double>(request_.tokenBudget.value_or(0));
   if (budget > 0 && static_cast<double>(known) > context_.knobs.runawayShare * budget) {
     return routing::WorkStage::Runaway;
--- a/src/edge/exchange_refusals.cpp
+++ b/src/edge/exchange_refusals.cpp
@@ -78,7 +78,7 @@
                         {"asked_tokens", request_.maximumTokens},
                         {"used_tokens", reply.tokensUsed},
                         {"unseen_tokens", reply.tokensUnseen},
-                        {"unseen_leases", ledger::unseenSpendingName(reply.unseenLeases)},
+                        {"unseen_leases", ledger::unrecordedSpendingName(reply.unseenLeases)},
                         {"budget", request_.tokenBudget.value_or(0)},
                         {"nodes", ledger::textOf(reply.asked)}});
 }
--- a/src/edge/ledger_relay.h
+++ b/src/edge/ledger_relay.h
@@ -34,17 +34,19 @@
 class HttpLedgerPeers final : public ledger::LedgerPeers {
  public:
   /// Returns the nodes that may host ledger partitions.
-  using CandidatesFunction = std::function<std::vector<ledger::HomeCandidate>()>;
+  using CandidatesFunction = std::function<std::vector<ledger::NodeCandidate>()>;
   /// Returns whether the members have been listed at least once.
-  using AreKnownFunction = std::function<bool()>;
+  using IsNodeListKnownFunction = std::function<bool()>;
 
   /// \param client outlives this object.
-  HttpLedgerPeers(http::HttpClient& client, AreKnownFunction areKnown,
+  HttpLedgerPeers(http::HttpClient& client, IsNodeListKnownFunction isNodeListKnown,
                   CandidatesFunction candidates)
-      : client_(client), areKnown_(std::move(areKnown)), candidates_(std::move(candidates)) {}
+      : client_(client),
+        isNodeListKnown_(std::move(isNodeListKnown)),
+        candidates_(std::move(candidates)) {}
 
-  [[nodiscard]] bool areKnown() const override { return areKnown_(); }
-  [[nodiscard]] std::vector<ledger::HomeCandidate> candidates() const override {
+  [[nodiscard]] bool isNodeListKnown() const override { return isNodeListKnown_(); }
+  [[nodiscard]] std::vector<ledger::NodeCandidate> candidates() const override {
     return candidates_();
   }
   void checkAlive(const std::string& address, Duration limit,
@@ -54,7 +56,7 @@
 
  private:
   http::HttpClient& client_;
-  AreKnownFunction areKnown_;
+  IsNodeListKnownFunction isNodeListKnown_;
   CandidatesFunction candidates_;
 };
 
--- a/src/edge/member_announcer.cpp
+++ b/src/edge/member_announcer.cpp
@@ -16,13 +16,13 @@
 
 bool MemberAnnouncer::announce(const std::string& ownAddress, const std::string& key,
                                const MemberRecord& record,
-                               const std::vector<ledger::HomeCandidate>& candidates, bool urgent) {
+                               const std::vector<ledger::NodeCandidate>& candidates, bool urgent) {
   if (isAppendPending_ && !urgent) {
     return false;
   }
   std::string bytes = logstore::encodeKeyedRecord(key, encodeMemberRecord(record));
   const std::vector<std::string> aggregators =
-      aggregators_.homesOf(partition_, record.zone, candidates, clock_());
+      aggregators_.selectNodes(partition_, record.zone, candidates, clock_());
   if (urgent || aggregators.empty()) {
     append(std::move(bytes), Duration::zero());
     return true;
--- a/src/edge/member_announcer.h
+++ b/src/edge/member_announcer.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "edge/member_table.h"
-#include "ledger/home_selector.h"
+#include "ledger/rendezvous_selector.h"
 #include "logstore/append_batcher.h"
 #include "logstore/log_store.h"
 #include "services/timer_service.h"
@@ -41,7 +41,7 @@
   /// \param urgent append directly, even while an earlier announcement is pending.
   /// \return false if skipped because an earlier announcement is pending.
   bool announce(const std::string& ownAddress, const std::string& key, const MemberRecord& record,
-                const std::vector<ledger::HomeCandidate>& candidates, bool urgent);
+                const std::vector<ledger::NodeCandidate>& candidates, bool urgent);
   /// Batches another node's announcement with this node's own.
   void aggregate(logstore::AppendRequest request,
                  logstore::StoreCallback<logstore::AppendReply> callback);
@@ -54,7 +54,7 @@
   Forward forward_;
   MemberAnnouncerKnobs knobs_;
   logstore::AppendBatcher batcher_;
-  ledger::HomeSelector aggregators_{{}};
+  ledger::RendezvousSelector aggregators_{{}};
   bool isAppendPending_ = false;
 };
 
--- a/src/edge/nearest_nodes.cpp
+++ b/src/edge/nearest_nodes.cpp
@@ -4,15 +4,15 @@
 
 namespace gorsetrail::edge {
 
-std::vector<ledger::HomeCandidate> nearestNodes(
-    const std::vector<ledger::HomeCandidate>& candidates, std::string_view zone,
+std::vector<ledger::NodeCandidate> nearestNodes(
+    const std::vector<ledger::NodeCandidate>& candidates, std::string_view zone,
     const routing::ZoneTable& zones) {
   auto nearest = routing::Distance::OtherRegion;
-  for (const ledger::HomeCandidate& candidate : candidates) {
+  for (const ledger::NodeCandidate& candidate : candidates) {
     nearest = std::min(nearest, zones.between(zone, candidate.zone));
   }
-  std::vector<ledger::HomeCandidate> near;
-  for (const ledger::HomeCandidate& candidate : candidates) {
+  std::vector<ledger::NodeCandidate> near;
+  for (const ledger::NodeCandidate& candidate : candidates) {
     if (zones.between(zone, candidate.zone) == nearest) {
       near.push_back(candidate);
     }
@@ -20,15 +20,15 @@
   return near;
 }
 
-std::vector<ledger::HomeCandidate> capableNodes(
-    const std::vector<ledger::HomeCandidate>& candidates) {
+std::vector<ledger::NodeCandidate> capableNodes(
+    const std::vector<ledger::NodeCandidate>& candidates) {
   constexpr double kShareOfLargest = 0.5;
   double largest = 0;
-  for (const ledger::HomeCandidate& candidate : candidates) {
+  for (const ledger::NodeCandidate& candidate : candidates) {
     largest = std::max(largest, candidate.capacity);
   }
-  std::vector<ledger::HomeCandidate> capable;
-  for (const ledger::HomeCandidate& candidate : candidates) {
+  std::vector<ledger::NodeCandidate> capable;
+  for (const ledger::NodeCandidate& candidate : candidates) {
     if (candidate.capacity >= kShareOfLargest * largest) {
       capable.push_back(candidate);
     }
--- a/src/edge/quota_exchange.cpp
+++ b/src/edge/quota_exchange.cpp
@@ -101,7 +101,7 @@
   known.chosenAt = now;
   known.addresses.clear();
   for (const std::string& relay :
-       selector_.homesOf({kQuotaTopic, partition}, {}, sources_.candidates(), now)) {
+       selector_.selectNodes({kQuotaTopic, partition}, {}, sources_.candidates(), now)) {
     known.addresses.push_back(quotaAddressOf(relay));
   }
   return known.addresses;
--- a/src/edge/quota_exchange.h
+++ b/src/edge/quota_exchange.h
@@ -11,7 +11,7 @@
 
 #include "base/result.h"
 #include "edge/datagram_socket.h"
-#include "ledger/home_selector.h"
+#include "ledger/rendezvous_selector.h"
 #include "quota/quota_service.h"
 #include "services/timer_service.h"
 
@@ -20,7 +20,7 @@
 /// Callbacks of `QuotaExchange` into the daemon.
 struct QuotaSources {
   /// Nodes eligible as coordinators, with their relay addresses.
-  std::function<const std::vector<ledger::HomeCandidate>&()> candidates;
+  std::function<const std::vector<ledger::NodeCandidate>&()> candidates;
   /// Relay addresses of all listed members, including dead ones.
   std::function<std::vector<std::string>()> members;
   /// Number of listed members; 0 before the first listing.
@@ -73,7 +73,7 @@
   std::uint64_t incarnation_;
   DatagramSocket socket_;
   std::string portSuffix_;
-  ledger::HomeSelector selector_{{}};
+  ledger::RendezvousSelector selector_{{}};
   mutable std::map<std::uint32_t, Coordinators>
       coordinators_;                              ///< Cached for each partition at `chosenAt`.
   std::unique_ptr<quota::QuotaService> service_;  ///< Null before `listen`.
--- a/src/edge/shared_topic_store.cpp
+++ b/src/edge/shared_topic_store.cpp
@@ -105,9 +105,9 @@
     }
   };
   add(lastGoodReaders_[partition]);
-  for (const std::string& home :
-       readers_.homesOf(partition, zone_, sources_.candidates(), clock_())) {
-    add(home);
+  for (const std::string& reader :
+       readers_.selectNodes(partition, zone_, sources_.candidates(), clock_())) {
+    add(reader);
   }
   add(sources_.claimedReader());
   return readers;
--- a/src/edge/shared_topic_store.h
+++ b/src/edge/shared_topic_store.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "edge/store_relay.h"
-#include "ledger/home_selector.h"
+#include "ledger/rendezvous_selector.h"
 #include "logstore/log_store.h"
 #include "logstore/topic_gateway.h"
 
@@ -27,7 +27,7 @@
 /// Callbacks of `SharedTopicStore` to find readers and to report on them.
 struct TopicReaderSources {
   /// Members eligible as topic readers of this zone.
-  std::function<std::vector<ledger::HomeCandidate>()> candidates;
+  std::function<std::vector<ledger::NodeCandidate>()> candidates;
   /// The zone's claimed reader, see `ReaderElection`; empty: none.
   std::function<std::string()> claimedReader;
   /// Returns whether this node is the claimed reader.
@@ -102,7 +102,7 @@
   TopicReaderSources sources_;
   logstore::ClockFunction clock_;
   SharedTopicStoreKnobs knobs_;
-  ledger::HomeSelector readers_{{}};
+  ledger::RendezvousSelector readers_{{}};
   std::map<logstore::PartitionAddress, logstore::TopicGateway*> gateways_;
   /// The last reader that answered, by partition.
   std::map<logstore::PartitionAddress, std::string> lastGoodReaders_;
--- a/src/ledger/budget_lease_table.cpp
+++ b/src/ledger/budget_lease_table.cpp
@@ -7,8 +7,9 @@
 
 constexpr std::array kSlots{BudgetLeaseSlot::Primary, BudgetLeaseSlot::Secondary};
 
-UnseenSpending spendingUnder(BudgetLeaseSlot slot) {
-  return slot == BudgetLeaseSlot::Primary ? UnseenSpending::Primary : UnseenSpending::Secondary;
+UnrecordedSpending spendingUnder(BudgetLeaseSlot slot) {
+  return slot == BudgetLeaseSlot::Primary ? UnrecordedSpending::Primary
+                                          : UnrecordedSpending::Secondary;
 }
 
 }  // namespace
@@ -53,7 +54,7 @@
   if (record.state == BudgetLeaseState::Cleared) {
     entry.clearedOffset = offset;
     // The earlier records are no longer in the log, so what was spent under the lease is unknown.
-    recordClearedSpending(UnseenSpending::Both, now);
+    recordClearedSpending(UnrecordedSpending::Both, now);
     leases_.emplace(record.lease, std::move(entry));
     return;
   }
@@ -83,7 +84,7 @@
 
 void BudgetLeaseTable::onEndedLeaseCleared(const Entry& cleared, Instant now) {
   const bool overlapped = isWithinRetention(cleared.overlappedAt, now);
-  recordClearedSpending(overlapped ? UnseenSpending::Both : spendingUnder(cleared.slot), now);
+  recordClearedSpending(overlapped ? UnrecordedSpending::Both : spendingUnder(cleared.slot), now);
   for (auto& [id, lease] : leases_) {
     if (lease.state != BudgetLeaseState::Cleared) {
       lease.overlappedAt = now;
@@ -91,7 +92,7 @@
   }
 }
 
-void BudgetLeaseTable::recordClearedSpending(UnseenSpending spending, Instant now) {
+void BudgetLeaseTable::recordClearedSpending(UnrecordedSpending spending, Instant now) {
   lastClearedAt_.at(static_cast<std::size_t>(spending)) = now;
 }
 
@@ -113,29 +114,30 @@
   return slotOf(lease) == BudgetLeaseSlot::Secondary && isSlotFree(BudgetLeaseSlot::Primary);
 }
 
-UnseenSpending BudgetLeaseTable::unseenSpending(const std::string& ownLease, bool hasTimeLeft,
-                                                std::uint64_t below, Instant now) const {
-  UnseenSpending spending = UnseenSpending::None;
+UnrecordedSpending BudgetLeaseTable::unrecordedSpending(const std::string& ownLease,
+                                                        bool hasTimeLeft, std::uint64_t below,
+                                                        Instant now) const {
+  UnrecordedSpending spending = UnrecordedSpending::None;
   for (const auto& lease : leases_) {
     if (isUnclearedForeign(lease, ownLease, below)) {
       // Two leases can name the same slot: one was cleared at or after `below`, and the other was
       // promoted then.
-      const bool isOnly = spending == UnseenSpending::None;
-      spending = isOnly ? spendingUnder(lease.second.slot) : UnseenSpending::Both;
+      const bool isOnly = spending == UnrecordedSpending::None;
+      spending = isOnly ? spendingUnder(lease.second.slot) : UnrecordedSpending::Both;
     }
   }
   return hasTimeLeft ? spending : std::max(spending, overdueSpending(ownLease, below, now));
 }
 
-UnseenSpending BudgetLeaseTable::overdueSpending(const std::string& ownLease, std::uint64_t below,
-                                                 Instant now) const {
+UnrecordedSpending BudgetLeaseTable::overdueSpending(const std::string& ownLease,
+                                                     std::uint64_t below, Instant now) const {
   const bool overlapped = std::any_of(leases_.begin(), leases_.end(), [&](const auto& lease) {
     return isUnclearedForeign(lease, ownLease, below) &&
            isWithinRetention(lease.second.overlappedAt, now);
   });
-  UnseenSpending most = overlapped ? UnseenSpending::Both : UnseenSpending::None;
-  for (const UnseenSpending spending :
-       {UnseenSpending::Secondary, UnseenSpending::Primary, UnseenSpending::Both}) {
+  UnrecordedSpending most = overlapped ? UnrecordedSpending::Both : UnrecordedSpending::None;
+  for (const UnrecordedSpending spending :
+       {UnrecordedSpending::Secondary, UnrecordedSpending::Primary, UnrecordedSpending::Both}) {
     if (isWithinRetention(lastClearedAt_.at(static_cast<std::size_t>(spending)), now)) {
       most = std::max(most, spending);
     }
@@ -208,17 +210,18 @@
                   std::min(largestTurn, tokensOfShare(shares.singleTurnShare)));
 }
 
-std::uint64_t LeaseAllowance::maxSpent(UnseenSpending spending, std::uint64_t largestTurn) const {
+std::uint64_t LeaseAllowance::maxSpent(UnrecordedSpending spending,
+                                       std::uint64_t largestTurn) const {
   const std::uint64_t primary = maxSpentUnder(BudgetLeaseSlot::Primary, largestTurn);
   const std::uint64_t secondary = maxSpentUnder(BudgetLeaseSlot::Secondary, largestTurn);
   switch (spending) {
-    case UnseenSpending::None:
+    case UnrecordedSpending::None:
       return 0;
-    case UnseenSpending::Secondary:
+    case UnrecordedSpending::Secondary:
       return secondary;
-    case UnseenSpending::Primary:
+    case UnrecordedSpending::Primary:
       return primary;
-    case UnseenSpending::Both:
+    case UnrecordedSpending::Both:
       break;
   }
   return primary + secondary;
--- a/src/ledger/budget_lease_table.h
+++ b/src/ledger/budget_lease_table.h
@@ -81,8 +81,8 @@
   /// still counts, because the grants recorded between the reservation and the end of the lease
   /// would otherwise be counted by nobody.
   /// \return the leases under which the program may have spent tokens without a record.
-  [[nodiscard]] UnseenSpending unseenSpending(const std::string& ownLease, bool hasTimeLeft,
-                                              std::uint64_t below, Instant now) const;
+  [[nodiscard]] UnrecordedSpending unrecordedSpending(const std::string& ownLease, bool hasTimeLeft,
+                                                      std::uint64_t below, Instant now) const;
 
   /// \return whether `ownLease` is active, or its first record would take a slot.
   [[nodiscard]] bool hasSlotFor(const std::string& ownLease) const;
@@ -128,7 +128,7 @@
   [[nodiscard]] std::optional<BudgetLeaseSlot> slotForNewLease() const;
   void addLease(const BudgetLease& record, std::uint64_t offset, Instant now);
   void onEndedLeaseCleared(const Entry& cleared, Instant now);
-  void recordClearedSpending(UnseenSpending spending, Instant now);
+  void recordClearedSpending(UnrecordedSpending spending, Instant now);
   [[nodiscard]] bool isWithinRetention(const std::optional<Instant>& moment, Instant now) const;
   /// \return whether the lease belongs to another node and was not cleared by a record below the
   /// offset.
@@ -136,15 +136,15 @@
                                                const std::string& ownLease, std::uint64_t below) {
     return lease.first != ownLease && lease.second.clearedOffset >= below;
   }
-  [[nodiscard]] UnseenSpending overdueSpending(const std::string& ownLease, std::uint64_t below,
-                                               Instant now) const;
+  [[nodiscard]] UnrecordedSpending overdueSpending(const std::string& ownLease, std::uint64_t below,
+                                                   Instant now) const;
   [[nodiscard]] std::optional<BudgetLease> nextTransitionOf(const Leases::value_type& lease,
                                                             const std::string& ownHolder,
                                                             Instant now) const;
 
   BudgetLeaseKnobs knobs_;
   Leases leases_;
-  /// When ended leases were last cleared, indexed by `UnseenSpending`.
+  /// When ended leases were last cleared, indexed by `UnrecordedSpending`.
   std::array<std::optional<Instant>, 4> lastClearedAt_;
 };
 
@@ -163,7 +163,8 @@
   /// \param largestTurn upper bound of the tokens of one turn of the program, as far as known.
   /// \return the maximum that may have been spent under the leases. The part of a single turn above
   /// `largestTurn` is left out, because a program may exceed its budget by one turn.
-  [[nodiscard]] std::uint64_t maxSpent(UnseenSpending spending, std::uint64_t largestTurn) const;
+  [[nodiscard]] std::uint64_t maxSpent(UnrecordedSpending spending,
+                                       std::uint64_t largestTurn) const;
 
  private:
   [[nodiscard]] std::uint64_t tokensOfShare(double share) const;
--- a/src/ledger/budget_partition.cpp
+++ b/src/ledger/budget_partition.cpp
@@ -106,7 +106,7 @@
   }
   scheduleRecording();
   const bool isPrimary = lease_->slot == BudgetLeaseSlot::Primary;
-  ++(isPrimary ? counters_.grantedAhead : counters_.grantedAheadSecondary);
+  ++(isPrimary ? counters_.grantedUnderPrimaryLease : counters_.grantedUnderSecondaryLease);
   return ReservationReply{ReservationOutcome::Granted, used + reservation.tokens};
 }
 
@@ -126,8 +126,8 @@
 BudgetPartition::UnrecordedTokens BudgetPartition::maxUnrecordedByOthers(
     const BudgetRequest& request, std::uint64_t below) const {
   const std::string& program = request.reservation.program;
-  const UnseenSpending unseen =
-      leases_.unseenSpending(ownLease(), hasTimeLeft(request), below, clock_());
+  const UnrecordedSpending unseen =
+      leases_.unrecordedSpending(ownLease(), hasTimeLeft(request), below, clock_());
   const std::uint64_t largestTurn =
       std::max(request.reservation.tokens, accounts_.largestReservationOf(program));
   return {unseen, LeaseAllowance(knobs_.leases, request.budget).maxSpent(unseen, largestTurn)};
@@ -281,7 +281,7 @@
 }
 
 std::string BudgetPartition::leaseId() const {
-  return knobs_.holder + "/" + knobs_.life + "/" + std::to_string(leaseNumber_);
+  return knobs_.holder + "/" + knobs_.incarnation + "/" + std::to_string(leaseNumber_);
 }
 
 // The lease takes effect when its record is read in log order, among those of other nodes. The
@@ -304,7 +304,7 @@
 }
 
 void BudgetPartition::maintainLease() {
-  if (!knobs_.leases.enabled || knobs_.life.empty() || leaseAppendPending_ ||
+  if (!knobs_.leases.enabled || knobs_.incarnation.empty() || leaseAppendPending_ ||
       !store_.answers(address_)) {
     return;
   }
@@ -336,7 +336,8 @@
         maintainLease();  // A slot may be free now.
       }
     });
-  } else if (leases_.unseenSpending(ownLease(), true, kMaxOffset, now) != UnseenSpending::None) {
+  } else if (leases_.unrecordedSpending(ownLease(), true, kMaxOffset, now) !=
+             UnrecordedSpending::None) {
     // Reads lease records of other nodes soon after they are appended.
     reader_->readToEnd([](const logstore::StoreResult<Success>& /*read*/) {});
   }
--- a/src/ledger/budget_partition.h
+++ b/src/ledger/budget_partition.h
@@ -23,8 +23,8 @@
 
 struct BudgetPartitionKnobs {
   BudgetLeaseKnobs leases;
-  std::string holder;  ///< Address of this node, the same after a restart.
-  std::string life;    ///< Incarnation: unique to this process. Empty: it never holds a lease.
+  std::string holder;       ///< Address of this node, the same after a restart.
+  std::string incarnation;  ///< Unique to this process. Empty: it never holds a lease.
   Duration reservationWindow = milliseconds(20);
   Duration settlementWindow = milliseconds(300);
   /// Grants under the lease are recorded in batches at this interval.
@@ -36,8 +36,10 @@
 
 /// Monotonic counters of reservation outcomes.
 struct BudgetCounters {
-  std::uint64_t grantedAhead = 0;           ///< Under a primary lease, before being recorded.
-  std::uint64_t grantedAheadSecondary = 0;  ///< Under a secondary lease, before being recorded.
+  /// Reservations granted under a primary lease before being recorded.
+  std::uint64_t grantedUnderPrimaryLease = 0;
+  /// Reservations granted under a secondary lease before being recorded.
+  std::uint64_t grantedUnderSecondaryLease = 0;
   std::uint64_t grantedByLog = 0;
   std::uint64_t spent = 0;
   /// Refused only because a lease of another node may have spent tokens without a record.
@@ -120,10 +122,10 @@
   ReservationReply decideByLog(const BudgetRequest& request, Instant askedAt, std::uint64_t offset);
   /// The maximum that other nodes may have spent of a program's budget without a record.
   struct UnrecordedTokens {
-    UnseenSpending leases = UnseenSpending::None;
+    UnrecordedSpending leases = UnrecordedSpending::None;
     std::uint64_t maxTokens = 0;
   };
-  /// \param below see `BudgetLeaseTable::unseenSpending`.
+  /// \param below see `BudgetLeaseTable::unrecordedSpending`.
   [[nodiscard]] UnrecordedTokens maxUnrecordedByOthers(const BudgetRequest& request,
                                                        std::uint64_t below) const;
   /// \return the reply for a request that neither a lease nor the store can decide.
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -91,11 +91,11 @@
   /// Returns the unused part of a reservation. Returns immediately; the record is appended later.
   virtual void settle(BudgetSettlement settlement) = 0;
   /// \return whether storing a turn is likely to succeed now.
-  [[nodiscard]] virtual bool takesTurn(const TurnName& turn) = 0;
+  [[nodiscard]] virtual bool canStoreTurn(const TurnName& turn) = 0;
   /// \return whether a reservation for the program is likely to be decided now.
   [[nodiscard]] virtual ReservationOutlook reservationOutlook(const std::string& program) = 0;
   /// \return tokens used or reserved by the program, as far as this node knows.
-  [[nodiscard]] virtual std::uint64_t knownUse(const std::string& program) const = 0;
+  [[nodiscard]] virtual std::uint64_t knownTokenUse(const std::string& program) const = 0;
 };
 
 }  // namespace gorsetrail::ledger
--- a/src/ledger/ledger_message.cpp
+++ b/src/ledger/ledger_message.cpp
@@ -163,7 +163,7 @@
     reply.undecided = static_cast<UndecidedReason>(read->undecided());
   }
   if (read->unseen_leases() <= fbs::UnseenLeases::MAX) {
-    reply.unseenLeases = static_cast<UnseenSpending>(read->unseen_leases());
+    reply.unseenLeases = static_cast<UnrecordedSpending>(read->unseen_leases());
   }
   reply.tokensUnseen = read->tokens_unseen();
   return reply;
--- a/src/ledger/ledger_message.h
+++ b/src/ledger/ledger_message.h
@@ -55,7 +55,7 @@
   bool canDecideReservations = true;
   // After a reservation; see `ReservationReply`.
   UndecidedReason undecided = UndecidedReason::Unknown;
-  UnseenSpending unseenLeases = UnseenSpending::None;
+  UnrecordedSpending unseenLeases = UnrecordedSpending::None;
   std::uint64_t tokensUnseen = 0;
 };
 
--- a/src/ledger/program_ledger.cpp
+++ b/src/ledger/program_ledger.cpp
@@ -169,7 +169,7 @@
   budgetsOf(settlement.program).settle(settlement);
 }
 
-bool ProgramLedger::takesTurn(const TurnName& turn) {
+bool ProgramLedger::canStoreTurn(const TurnName& turn) {
   return store_.answers(layout_.ofTurn(placementFor(turn.zones), turn.request));
 }
 
@@ -182,7 +182,7 @@
   return store_.answers(budgets) || budgetsAt(budgets).holdsLease();
 }
 
-std::uint64_t ProgramLedger::knownUse(const std::string& program) const {
+std::uint64_t ProgramLedger::knownTokenUse(const std::string& program) const {
   const auto budgets = budgets_.find(layout_.ofBudget(program));
   return budgets == budgets_.end() ? 0 : budgets->second->tokensUsedBy(program);
 }
@@ -197,8 +197,8 @@
   BudgetCounters sum;
   for (const auto& [address, partition] : budgets_) {
     const BudgetCounters& one = partition->counters();
-    sum.grantedAhead += one.grantedAhead;
-    sum.grantedAheadSecondary += one.grantedAheadSecondary;
+    sum.grantedUnderPrimaryLease += one.grantedUnderPrimaryLease;
+    sum.grantedUnderSecondaryLease += one.grantedUnderSecondaryLease;
     sum.grantedByLog += one.grantedByLog;
     sum.spent += one.spent;
     sum.uncertain += one.uncertain;
--- a/src/ledger/program_ledger.h
+++ b/src/ledger/program_ledger.h
@@ -56,9 +56,9 @@
   void reserve(const BudgetRequest& request, Duration timeLimit,
                ReservationCallback callback) override;
   void settle(BudgetSettlement settlement) override;
-  [[nodiscard]] bool takesTurn(const TurnName& turn) override;
+  [[nodiscard]] bool canStoreTurn(const TurnName& turn) override;
   [[nodiscard]] ReservationOutlook reservationOutlook(const std::string& program) override;
-  [[nodiscard]] std::uint64_t knownUse(const std::string& program) const override;
+  [[nodiscard]] std::uint64_t knownTokenUse(const std::string& program) const override;
 
   /// Finds a turn's own record in one partition. Calls back synchronously if it is cached.
   void findTurn(const TurnPlacement& placement, const std::string& turn, TurnCallback callback);
--- a/src/ledger/home_selector.cpp
+++ b/src/ledger/rendezvous_selector.cpp
@@ -1,4 +1,4 @@
-#include "ledger/home_selector.h"
+#include "ledger/rendezvous_selector.h"
 
 #include <xxhash.h>
 
@@ -12,7 +12,7 @@
 constexpr double kSmallestCapacity = 0.01;
 
 /// Weighted rendezvous hashing: a candidate wins with a probability proportional to its capacity.
-double scoreOf(const std::string& key, const HomeCandidate& candidate) {
+double scoreOf(const std::string& key, const NodeCandidate& candidate) {
   const std::uint64_t seed = XXH64(key.data(), key.size(), 0);
   const std::uint64_t hash = XXH64(candidate.address.data(), candidate.address.size(), seed);
   const double fraction = (static_cast<double>(hash >> 11U) + 0.5) / std::ldexp(1.0, 53);
@@ -21,30 +21,29 @@
 
 }  // namespace
 
-bool HomeSelector::isSuspect(const std::string& address, Instant now) const {
+bool RendezvousSelector::isSuspect(const std::string& address, Instant now) const {
   const auto found = suspectUntil_.find(address);
   return found != suspectUntil_.end() && now < found->second;
 }
 
-void HomeSelector::suspect(const std::string& address, Instant now) {
+void RendezvousSelector::suspect(const std::string& address, Instant now) {
   suspectUntil_[address] = now + knobs_.suspicionTime;
 }
 
-std::vector<std::string> HomeSelector::homesOf(const logstore::PartitionAddress& partition,
-                                               const std::string& zone,
-                                               const std::vector<HomeCandidate>& candidates,
-                                               Instant now) const {
+std::vector<std::string> RendezvousSelector::selectNodes(
+    const logstore::PartitionAddress& partition, const std::string& zone,
+    const std::vector<NodeCandidate>& candidates, Instant now) const {
   const std::string key = partition.topic + "/" + std::to_string(partition.partition);
   const bool hasZone =
       !zone.empty() && std::any_of(candidates.begin(), candidates.end(),
-                                   [&](const HomeCandidate& one) { return one.zone == zone; });
+                                   [&](const NodeCandidate& one) { return one.zone == zone; });
   struct Ranked {
     bool suspect;
     double score;
     const std::string* address;
   };
   std::vector<Ranked> ranked;
-  for (const HomeCandidate& candidate : candidates) {
+  for (const NodeCandidate& candidate : candidates) {
     if (!hasZone || candidate.zone == zone) {
       ranked.push_back(
           {isSuspect(candidate.address, now), scoreOf(key, candidate), &candidate.address});
--- a/src/ledger/home_selector.h
+++ b/src/ledger/rendezvous_selector.h
@@ -12,13 +12,13 @@
 namespace gorsetrail::ledger {
 
 /// A node that may be selected.
-struct HomeCandidate {
+struct NodeCandidate {
   std::string address;  ///< Address for ledger calls.
   std::string zone;
   double capacity = 1.0;  ///< Relative weight in the hashing.
 };
 
-struct HomeSelectorKnobs {
+struct RendezvousSelectorKnobs {
   std::size_t nodesPerPartition = 2;  ///< Number of nodes selected for a partition, tried in order.
   /// A suspected node is ranked last for this long.
   Duration suspicionTime = milliseconds(1500);
@@ -28,24 +28,24 @@
 /// nodes, and a membership change moves only the partitions of the changed node. Callers with
 /// different candidates may select different nodes; for ledger calls this is safe, because the log
 /// decides and a coordinator only saves calls to the store.
-class HomeSelector {
+class RendezvousSelector {
  public:
-  explicit HomeSelector(HomeSelectorKnobs knobs) : knobs_(knobs) {}
+  explicit RendezvousSelector(RendezvousSelectorKnobs knobs) : knobs_(knobs) {}
 
   /// \param zone restricts the selection to this zone if it has any candidates; empty: no
   /// restriction.
   /// \return addresses, best first; suspected nodes after all others.
-  [[nodiscard]] std::vector<std::string> homesOf(const logstore::PartitionAddress& partition,
-                                                 const std::string& zone,
-                                                 const std::vector<HomeCandidate>& candidates,
-                                                 Instant now) const;
+  [[nodiscard]] std::vector<std::string> selectNodes(const logstore::PartitionAddress& partition,
+                                                     const std::string& zone,
+                                                     const std::vector<NodeCandidate>& candidates,
+                                                     Instant now) const;
   void suspect(const std::string& address, Instant now);
   /// Clears the suspicion after a reply. \return whether the node was suspected.
   bool clearSuspicion(const std::string& address) { return suspectUntil_.erase(address) > 0; }
   [[nodiscard]] bool isSuspect(const std::string& address, Instant now) const;
 
  private:
-  HomeSelectorKnobs knobs_;
+  RendezvousSelectorKnobs knobs_;
   std::map<std::string, Instant> suspectUntil_;
 };
 
--- a/src/ledger/reservation.cpp
+++ b/src/ledger/reservation.cpp
@@ -26,15 +26,15 @@
   return "unknown";
 }
 
-std::string_view unseenSpendingName(UnseenSpending spending) {
+std::string_view unrecordedSpendingName(UnrecordedSpending spending) {
   switch (spending) {
-    case UnseenSpending::None:
+    case UnrecordedSpending::None:
       break;
-    case UnseenSpending::Secondary:
+    case UnrecordedSpending::Secondary:
       return "secondary";
-    case UnseenSpending::Primary:
+    case UnrecordedSpending::Primary:
       return "primary";
-    case UnseenSpending::Both:
+    case UnrecordedSpending::Both:
       return "both";
   }
   return "none";
--- a/src/ledger/reservation.h
+++ b/src/ledger/reservation.h
@@ -35,19 +35,20 @@
 
 /// Leases under which a program may have spent tokens without a record. Each value covers the
 /// smaller ones. The numbers are part of the wire format.
-enum class UnseenSpending : std::uint8_t { None = 0, Secondary = 1, Primary = 2, Both = 3 };
+enum class UnrecordedSpending : std::uint8_t { None = 0, Secondary = 1, Primary = 2, Both = 3 };
 
 /// \return the stable name of the leases for log lines.
-std::string_view unseenSpendingName(UnseenSpending spending);
+std::string_view unrecordedSpendingName(UnrecordedSpending spending);
 
 struct ReservationReply {
   ReservationOutcome outcome = ReservationOutcome::Unavailable;
   /// Used or reserved by the program, including a granted reservation.
   std::uint64_t tokensUsed = 0;
-  UndecidedReason reason = UndecidedReason::Unknown;   ///< Set if the outcome is `Unavailable`.
-  UnseenSpending unseenLeases = UnseenSpending::None;  ///< Counted in addition to `tokensUsed`.
-  std::uint64_t tokensUnseen = 0;                      ///< Upper bound spent under `unseenLeases`.
-  std::string partition{};                             ///< The program's budget partition.
+  UndecidedReason reason = UndecidedReason::Unknown;  ///< Set if the outcome is `Unavailable`.
+  /// Counted in addition to `tokensUsed`.
+  UnrecordedSpending unseenLeases = UnrecordedSpending::None;
+  std::uint64_t tokensUnseen = 0;          ///< Upper bound spent under `unseenLeases`.
+  std::string partition{};                 ///< The program's budget partition.
   std::string repliedBy{};                 ///< The node that sent the reply; may be empty.
   std::vector<CoordinatorReport> asked{};  ///< In the order they were called.
 };
--- a/src/ledger/routed_ledger.cpp
+++ b/src/ledger/routed_ledger.cpp
@@ -132,10 +132,10 @@
   return !bothKnown || one->second == two->second;
 }
 
-std::vector<HomeCandidate> RoutedLedger::candidatesFor(const TurnPlacement* placement) const {
-  std::vector<HomeCandidate> candidates = peers_.candidates();
+std::vector<NodeCandidate> RoutedLedger::candidatesFor(const TurnPlacement* placement) const {
+  std::vector<NodeCandidate> candidates = peers_.candidates();
   if (placement != nullptr && placement->confined) {
-    std::erase_if(candidates, [&](const HomeCandidate& candidate) {
+    std::erase_if(candidates, [&](const NodeCandidate& candidate) {
       return !inSameRegion(placement->zone, candidate.zone);
     });
   }
@@ -145,7 +145,7 @@
 void RoutedLedger::startCall(LedgerRequest request, const logstore::PartitionAddress& partition,
                              const std::string& preferredZone, Duration timeLimit,
                              CallResultCallback callback) {
-  if (!peers_.areKnown()) {
+  if (!peers_.isNodeListKnown()) {
     LedgerReply reply;
     reply.reason = "the list of nodes has not been received yet";
     reply.undecided = UndecidedReason::NodesNotKnown;
@@ -157,7 +157,7 @@
   call->partition = partition;
   const TurnPlacement* const placement = placementOf(call->request);
   call->coordinators =
-      selector_.homesOf(partition, preferredZone, candidatesFor(placement), clock_());
+      selector_.selectNodes(partition, preferredZone, candidatesFor(placement), clock_());
   const bool mayReadHere =
       placement == nullptr || !placement->confined || inSameRegion(placement->zone, knobs_.zone);
   const bool mayUseThisNode = mayReadHere || !readsPartition(call->request);
@@ -275,8 +275,8 @@
   if (reply) {
     updateUndecidedReport(*call, *reply);
     call->coordinatorAlive = call->coordinatorAlive || coordinator != knobs_.ownAddress;
-    if (selector_.clearSuspicion(coordinator) && knobs_.onSilence) {
-      knobs_.onSilence(coordinator, false);
+    if (selector_.clearSuspicion(coordinator) && knobs_.onSuspicionChanged) {
+      knobs_.onSuspicionChanged(coordinator, false);
     }
     pacer_.onAnswer(now - sentAt);
   } else if (now < call->deadline) {
@@ -356,8 +356,8 @@
 void RoutedLedger::suspect(const std::string& coordinator) {
   const bool isNewlySuspected = !selector_.isSuspect(coordinator, clock_());
   selector_.suspect(coordinator, clock_());
-  if (isNewlySuspected && knobs_.onSilence) {
-    knobs_.onSilence(coordinator, true);
+  if (isNewlySuspected && knobs_.onSuspicionChanged) {
+    knobs_.onSuspicionChanged(coordinator, true);
   }
 }
 
@@ -387,7 +387,7 @@
   const logstore::PartitionAddress partition = layout_.ofBudget(program);
   const auto failing = breakers_.find(partition);
   const bool hasFailed = failing != breakers_.end();
-  if (!peers_.areKnown() ||
+  if (!peers_.isNodeListKnown() ||
       (hasFailed && failing->second.state(clock_()) == engine::CircuitState::Open)) {
     return ReservationOutlook::Unlikely;
   }
@@ -406,14 +406,14 @@
   }
 }
 
-void RoutedLedger::tendLeases() {
-  if (!peers_.areKnown()) {
+void RoutedLedger::maintainLeases() {
+  if (!peers_.isNodeListKnown()) {
     return;
   }
-  const std::vector<HomeCandidate> candidates = peers_.candidates();
+  const std::vector<NodeCandidate> candidates = peers_.candidates();
   for (const logstore::PartitionAddress& partition : layout_.budgetPartitions()) {
     const std::vector<std::string> coordinators =
-        selector_.homesOf(partition, {}, candidates, clock_());
+        selector_.selectNodes(partition, {}, candidates, clock_());
     if (!coordinators.empty() && coordinators.front() == knobs_.ownAddress) {
       service_.maintainLease(partition);
     } else {
@@ -422,7 +422,7 @@
   }
 }
 
-void RoutedLedger::giveLeasesBack() {
+void RoutedLedger::releaseLeases() {
   for (const logstore::PartitionAddress& partition : layout_.budgetPartitions()) {
     service_.releaseLease(partition);
   }
@@ -455,7 +455,7 @@
             [](const CallResult&) {});
 }
 
-std::uint64_t RoutedLedger::knownUse(const std::string& program) const {
+std::uint64_t RoutedLedger::knownTokenUse(const std::string& program) const {
   const auto found = knownUse_.find(program);
   return found == knownUse_.end() ? 0 : found->second.tokens;
 }
--- a/src/ledger/routed_ledger.h
+++ b/src/ledger/routed_ledger.h
@@ -1,4 +1,4 @@
-/// \file A ledger that sends its calls to the coordinators ("homes") of the partitions.
+/// \file A ledger that sends its calls to the coordinators of the partitions.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +13,11 @@
 
 #include "engine/circuit_breaker.h"
 #include "ledger/call_trace.h"
-#include "ledger/home_selector.h"
 #include "ledger/ledger.h"
 #include "ledger/ledger_message.h"
 #include "ledger/ledger_partitions.h"
 #include "ledger/ledger_service.h"
+#include "ledger/rendezvous_selector.h"
 #include "logstore/call_pacer.h"
 #include "logstore/persistent_store.h"
 #include "services/timer_service.h"
@@ -29,10 +29,10 @@
  public:
   virtual ~LedgerPeers() = default;
   /// \return the nodes that may be coordinators now, including this one.
-  [[nodiscard]] virtual std::vector<HomeCandidate> candidates() const = 0;
+  [[nodiscard]] virtual std::vector<NodeCandidate> candidates() const = 0;
   /// \return whether the list of nodes is known. Before that no call is made: a node that took
   /// itself for the coordinator of all partitions would read the whole store.
-  [[nodiscard]] virtual bool areKnown() const = 0;
+  [[nodiscard]] virtual bool isNodeListKnown() const = 0;
   /// Probes a node for liveness. Calls back once, never synchronously.
   virtual void checkAlive(const std::string& address, Duration limit,
                           std::function<void(bool alive)> callback) = 0;
@@ -69,7 +69,7 @@
   /// turn is dispatched only after its reservation was granted, which costs one round trip.
   Duration undecidedReportLifetime = seconds(2);
   /// Called when a node becomes suspected (`suspected`), and when it replies again.
-  std::function<void(const std::string& address, bool suspected)> onSilence;
+  std::function<void(const std::string& address, bool suspected)> onSuspicionChanged;
 };
 
 /// Monotonic counters of ledger calls.
@@ -110,9 +110,9 @@
   void reserve(const BudgetRequest& request, Duration timeLimit,
                ReservationCallback callback) override;
   void settle(BudgetSettlement settlement) override;
-  [[nodiscard]] bool takesTurn(const TurnName& turn) override;
+  [[nodiscard]] bool canStoreTurn(const TurnName& turn) override;
   [[nodiscard]] ReservationOutlook reservationOutlook(const std::string& program) override;
-  [[nodiscard]] std::uint64_t knownUse(const std::string& program) const override;
+  [[nodiscard]] std::uint64_t knownTokenUse(const std::string& program) const override;
 
   /// Replaces the zones and regions after the settings were reloaded. Calls in flight keep their
   /// target partitions.
@@ -124,9 +124,9 @@
   }
   /// Maintains the leases of the budget partitions whose first coordinator is this node, and
   /// releases the others. Call it about once a second.
-  void tendLeases();
+  void maintainLeases();
   /// Releases all leases. Call it before a planned stop.
-  void giveLeasesBack();
+  void releaseLeases();
   /// Removes idle programs. Call it periodically.
   void sweep();
   [[nodiscard]] const RoutedLedgerCounters& counters() const { return counters_; }
@@ -160,7 +160,7 @@
   [[nodiscard]] bool inSameRegion(std::string_view zone, std::string_view other) const;
   /// \return the partition in which new turns restricted to these zones are stored.
   [[nodiscard]] TurnPlacement placementFor(const TurnZones& zones, std::uint32_t choice) const;
-  [[nodiscard]] std::vector<HomeCandidate> candidatesFor(const TurnPlacement* placement) const;
+  [[nodiscard]] std::vector<NodeCandidate> candidatesFor(const TurnPlacement* placement) const;
   struct StoreOperation;
   void storeIn(std::uint32_t choice, const std::shared_ptr<StoreOperation>& operation);
   void storeInOtherPartition(std::uint32_t choice,
@@ -182,7 +182,7 @@
   logstore::ClockFunction clock_;
   RoutedLedgerKnobs knobs_;
   LedgerPartitions layout_;
-  HomeSelector selector_;
+  RendezvousSelector selector_;
   logstore::CallPacer pacer_;
   RoutedLedgerCounters counters_;
   std::unordered_map<std::string, KnownUse> knownUse_;
--- a/src/ledger/routed_ledger_storing.cpp
+++ b/src/ledger/routed_ledger_storing.cpp
@@ -5,11 +5,11 @@
 
 namespace gorsetrail::ledger {
 
-bool RoutedLedger::takesTurn(const TurnName& turn) {
+bool RoutedLedger::canStoreTurn(const TurnName& turn) {
   const auto answersIn = [&](std::uint32_t choice) {
     return answers(layout_.ofTurn(placementFor(turn.zones, choice), turn.request));
   };
-  return peers_.areKnown() && (answersIn(0) || answersIn(1));
+  return peers_.isNodeListKnown() && (answersIn(0) || answersIn(1));
 }
 
 /// A turn being stored; it may end up in both of its partitions.
--- a/tests/edge/doubtful_ledger.h
+++ b/tests/edge/doubtful_ledger.h
@@ -38,11 +38,11 @@
     }
   }
   void settle(ledger::BudgetSettlement /*settlement*/) override {}
-  bool takesTurn(const ledger::TurnName& /*turn*/) override { return true; }
+  bool canStoreTurn(const ledger::TurnName& /*turn*/) override { return true; }
   ledger::ReservationOutlook reservationOutlook(const std::string& /*program*/) override {
     return outlook_;
   }
-  std::uint64_t knownUse(const std::string& /*program*/) const override { return 0; }
+  std::uint64_t knownTokenUse(const std::string& /*program*/) const override { return 0; }
 
   Duration reservationTimeout{};           ///< Time limit of the last reservation.
   logstore::FakeTimers* timers = nullptr;  ///< Set: replies take 2 ms; null: they are immediate.
--- a/tests/edge/exchange_refusals_test.cpp
+++ b/tests/edge/exchange_refusals_test.cpp
@@ -34,7 +34,7 @@
   ledger.reply.reason = ledger::UndecidedReason::UnseenSpending;
   ledger.reply.tokensUsed = 600;
   ledger.reply.tokensUnseen = 450;
-  ledger.reply.unseenLeases = ledger::UnseenSpending::Primary;
+  ledger.reply.unseenLeases = ledger::UnrecordedSpending::Primary;
   ledger.reply.partition = "budgets/3";
   ledger.reply.repliedBy = "b:1";
   ledger.reply.asked = {{"a:1", CoordinatorState::NotAlive, {}},
--- a/tests/edge/exchange_retention_test.cpp
+++ b/tests/edge/exchange_retention_test.cpp
@@ -32,10 +32,10 @@
       world.ledger.storeTurn({"probe" + std::to_string(number), "", {}, "text"}, milliseconds(700),
                              [](const logstore::StoreResult<Success>&) {});
     }
-    for (int step = 0; step < 200 && world.ledger.takesTurn({"q1"}); ++step) {
+    for (int step = 0; step < 200 && world.ledger.canStoreTurn({"q1"}); ++step) {
       world.timers.advance(milliseconds(10));
     }
-    CHECK_FALSE(world.ledger.takesTurn({"q1"}));
+    CHECK_FALSE(world.ledger.canStoreTurn({"q1"}));
   }
   /// Starts a turn whose replica sends its complete stream at once.
   std::shared_ptr<ClientView> startAndRun(const std::string& requestId) {
--- a/tests/edge/exchange_stream_test.cpp
+++ b/tests/edge/exchange_stream_test.cpp
@@ -177,7 +177,7 @@
   world.call().body(kFirst + kSecond);
   world.call().done();
   CHECK_TRUE(client->whole);
-  LONGS_EQUAL(18, world.ledger.knownUse("program"));
+  LONGS_EQUAL(18, world.ledger.knownTokenUse("program"));
 }
 
 TEST(ExchangeStream, refusesBeforeTheDispatchWhileTheStoreIsUnavailable) {
--- a/tests/edge/fleet_start_test.cpp
+++ b/tests/edge/fleet_start_test.cpp
@@ -243,7 +243,7 @@
  private:
   TopicReaderSources sources() {
     TopicReaderSources made;
-    made.candidates = [] { return std::vector<ledger::HomeCandidate>(); };
+    made.candidates = [] { return std::vector<ledger::NodeCandidate>(); };
     made.claimedReader = [this] { return readers.reader(); };
     made.isClaimedReader = [this] { return readers.isReader(); };
     made.onUnreachable = [this](const std::string& reader) { readers.onUnreachable(reader); };
--- a/tests/edge/member_announcer_test.cpp
+++ b/tests/edge/member_announcer_test.cpp
@@ -17,7 +17,7 @@
   logstore::FakeTimers timers;
   logstore::FakeLogStore log{timers};
   logstore::PartitionAddress partition{"keyed.nodes", 0};
-  std::vector<ledger::HomeCandidate> nodes;
+  std::vector<ledger::NodeCandidate> nodes;
   std::vector<std::unique_ptr<MemberAnnouncer>> announcers;
   std::set<std::string> dead;
 
@@ -81,8 +81,8 @@
 TEST(MemberAnnouncer, bypassesADeadAggregatorWithoutDelay) {
   announceAll();
   timers.advance(seconds(1));
-  ledger::HomeSelector selector{{}};
-  dead.insert(selector.homesOf(partition, "a", nodes, timers.now).front());
+  ledger::RendezvousSelector selector{{}};
+  dead.insert(selector.selectNodes(partition, "a", nodes, timers.now).front());
   log.logs[partition].clear();
   announceAll();
   timers.advance(seconds(1));
--- a/tests/edge/nearest_nodes_test.cpp
+++ b/tests/edge/nearest_nodes_test.cpp
@@ -9,7 +9,7 @@
 
 TEST_GROUP(NearestNodes) {
   routing::ZoneTable zones{{{"wa", "west"}, {"wb", "west"}, {"ea", "east"}, {"na", "north"}}};
-  std::vector<ledger::HomeCandidate> nodes = {{"n1", "wa", 1.0},
+  std::vector<ledger::NodeCandidate> nodes = {{"n1", "wa", 1.0},
                                               {"n2", "wb", 1.0},
                                               {"n3", "ea", 1.0},
                                               {"n4", "na", 1.0},
@@ -17,7 +17,7 @@
 
   [[nodiscard]] std::string nearTo(const std::string& zone) const {
     std::string addresses;
-    for (const ledger::HomeCandidate& node : nearestNodes(nodes, zone, zones)) {
+    for (const ledger::NodeCandidate& node : nearestNodes(nodes, zone, zones)) {
       addresses += node.address + " ";
     }
     return addresses;
--- a/tests/edge/shared_topic_store_test.cpp
+++ b/tests/edge/shared_topic_store_test.cpp
@@ -18,7 +18,7 @@
   logstore::CompactedTopic copy{[](const std::string&, const std::string&) { return false; }};
   logstore::TopicGateway gateway{log, timers, [this] { return timers.now; }, partition, copy, {}};
   FakePeers peers;
-  std::vector<ledger::HomeCandidate> nodes = {{"r1", "z", 1.0}, {"r2", "z", 1.0}};
+  std::vector<ledger::NodeCandidate> nodes = {{"r1", "z", 1.0}, {"r2", "z", 1.0}};
   std::string claimed;
   std::vector<std::string> unreachableReaders;
   std::vector<std::string> readersThatAnswered;
--- a/tests/ledger/budget_fleet.h
+++ b/tests/ledger/budget_fleet.h
@@ -60,7 +60,7 @@
   static BudgetPartitionKnobs withIdentity(BudgetPartitionKnobs knobs, const std::string& holder,
                                            const std::string& incarnation) {
     knobs.holder = holder;
-    knobs.life = incarnation;
+    knobs.incarnation = incarnation;
     return knobs;
   }
   CuttableStore storeLink;
--- a/tests/ledger/budget_lease_table_test.cpp
+++ b/tests/ledger/budget_lease_table_test.cpp
@@ -26,14 +26,14 @@
 
   /// Applies a record at the next offset.
   void apply(const BudgetLease& record, Instant now) { table.applyRecord(record, end++, now); }
-  UnseenSpending countedLeases(bool hasTimeLeft, Instant now = kStart, const char* own = "") {
-    return table.unseenSpending(own, hasTimeLeft, kMaxOffset, now);
+  UnrecordedSpending countedLeases(bool hasTimeLeft, Instant now = kStart, const char* own = "") {
+    return table.unrecordedSpending(own, hasTimeLeft, kMaxOffset, now);
   }
-  UnseenSpending countedLeasesBelow(std::uint64_t offset, bool hasTimeLeft = true) {
-    return table.unseenSpending("", hasTimeLeft, offset, kStart);
+  UnrecordedSpending countedLeasesBelow(std::uint64_t offset, bool hasTimeLeft = true) {
+    return table.unrecordedSpending("", hasTimeLeft, offset, kStart);
   }
   bool counts(bool hasTimeLeft, Instant now = kStart, const char* own = "") {
-    return countedLeases(hasTimeLeft, now, own) != UnseenSpending::None;
+    return countedLeases(hasTimeLeft, now, own) != UnrecordedSpending::None;
   }
   /// Lease "x" has ended in the primary slot, and "y" is held in the secondary one.
   void holdSecondary() {
@@ -82,9 +82,9 @@
   holdSecondary();
   CHECK(table.slotOf("x") == BudgetLeaseSlot::Primary);
   CHECK(table.slotOf("y") == BudgetLeaseSlot::Secondary);
-  CHECK(countedLeases(true) == UnseenSpending::Both);
-  CHECK(countedLeases(true, kStart, "x") == UnseenSpending::Secondary);
-  CHECK(countedLeases(true, kStart, "y") == UnseenSpending::Primary);
+  CHECK(countedLeases(true) == UnrecordedSpending::Both);
+  CHECK(countedLeases(true, kStart, "x") == UnrecordedSpending::Secondary);
+  CHECK(countedLeases(true, kStart, "y") == UnrecordedSpending::Primary);
 }
 
 TEST(BudgetLeaseTable, thirdLeaseIsVoidWhileTwoAreActive) {
@@ -144,13 +144,14 @@
 TEST(BudgetLeaseTable, overdueProgramsCountOverlappingClearedLeasesTogether) {
   holdSecondary();
   endAndClear("x");
-  CHECK(countedLeases(true) == UnseenSpending::Secondary);
-  CHECK(countedLeases(false) == UnseenSpending::Both);
-  CHECK(countedLeases(false, kStart, "y") == UnseenSpending::Primary);
+  CHECK(countedLeases(true) == UnrecordedSpending::Secondary);
+  CHECK(countedLeases(false) == UnrecordedSpending::Both);
+  CHECK(countedLeases(false, kStart, "y") == UnrecordedSpending::Primary);
   endAndClear("y", kStart + seconds(1));
-  CHECK(countedLeases(true) == UnseenSpending::None);
-  CHECK(countedLeases(false, kStart + seconds(1), "z") == UnseenSpending::Both);
-  CHECK(countedLeases(false, kStart + seconds(1) + knobs.retention, "z") == UnseenSpending::None);
+  CHECK(countedLeases(true) == UnrecordedSpending::None);
+  CHECK(countedLeases(false, kStart + seconds(1), "z") == UnrecordedSpending::Both);
+  CHECK(countedLeases(false, kStart + seconds(1) + knobs.retention, "z") ==
+        UnrecordedSpending::None);
 }
 
 TEST(BudgetLeaseTable, overdueProgramsCountConsecutiveClearedLeasesOnce) {
@@ -158,7 +159,7 @@
   endAndClear("x");
   apply(record("y", BudgetLeaseState::Held), kStart);
   endAndClear("y");
-  CHECK(countedLeases(false) == UnseenSpending::Primary);
+  CHECK(countedLeases(false) == UnrecordedSpending::Primary);
 }
 
 TEST(BudgetLeaseTable, leaseReleasedAfterAnOffsetCountsAtThatOffset) {
@@ -166,17 +167,17 @@
   const std::uint64_t clearedAt = end;
   apply(record("x", BudgetLeaseState::Cleared), kStart);
   apply(record("x", BudgetLeaseState::Cleared), kStart);  // A duplicate.
-  CHECK(countedLeasesBelow(clearedAt) == UnseenSpending::Primary);
-  CHECK(countedLeasesBelow(clearedAt + 1) == UnseenSpending::None);
+  CHECK(countedLeasesBelow(clearedAt) == UnrecordedSpending::Primary);
+  CHECK(countedLeasesBelow(clearedAt + 1) == UnrecordedSpending::None);
 }
 
 TEST(BudgetLeaseTable, leaseEndedAndClearedAfterAnOffsetCountsAtThatOffset) {
   apply(record("x", BudgetLeaseState::Held), kStart);
   const std::uint64_t endedAt = end;
   endAndClear("x");
-  CHECK(countedLeasesBelow(endedAt) == UnseenSpending::Primary);
-  CHECK(countedLeasesBelow(endedAt + 1) == UnseenSpending::Primary);
-  CHECK(countedLeasesBelow(endedAt + 2) == UnseenSpending::None);
+  CHECK(countedLeasesBelow(endedAt) == UnrecordedSpending::Primary);
+  CHECK(countedLeasesBelow(endedAt + 1) == UnrecordedSpending::Primary);
+  CHECK(countedLeasesBelow(endedAt + 2) == UnrecordedSpending::None);
 }
 
 TEST(BudgetLeaseTable, leaseClearedAfterAnOffsetCountsThereBesideAPromotedOne) {
@@ -185,8 +186,8 @@
   apply(record("x", BudgetLeaseState::Cleared), kStart);
   apply(record("y", BudgetLeaseState::Held, 2), kStart);
   CHECK(table.slotOf("y") == BudgetLeaseSlot::Primary);
-  CHECK(countedLeasesBelow(clearedAt) == UnseenSpending::Both);
-  CHECK(countedLeasesBelow(clearedAt + 1) == UnseenSpending::Primary);
+  CHECK(countedLeasesBelow(clearedAt) == UnrecordedSpending::Both);
+  CHECK(countedLeasesBelow(clearedAt + 1) == UnrecordedSpending::Primary);
 }
 
 TEST(BudgetLeaseTable, leaseReleasedAfterAnOffsetCountsThereWithAnOverlappingClearedOne) {
@@ -194,8 +195,8 @@
   apply(record("x", BudgetLeaseState::Cleared), kStart);
   const std::uint64_t givenBackAt = end;
   apply(record("y", BudgetLeaseState::Cleared), kStart);
-  CHECK(countedLeasesBelow(givenBackAt, false) == UnseenSpending::Both);
-  CHECK(countedLeasesBelow(givenBackAt + 1, false) == UnseenSpending::Primary);
+  CHECK(countedLeasesBelow(givenBackAt, false) == UnrecordedSpending::Both);
+  CHECK(countedLeasesBelow(givenBackAt + 1, false) == UnrecordedSpending::Primary);
 }
 
 TEST(BudgetLeaseTable, lateHeldRecordDoesNotReopenAClearedLease) {
@@ -263,8 +264,8 @@
 
 TEST(BudgetLeaseTable, leaseKnownOnlyByItsClearingCountsAsBothSlots) {
   apply(record("x", BudgetLeaseState::Cleared), kStart);
-  CHECK(countedLeases(true) == UnseenSpending::None);
-  CHECK(countedLeases(false) == UnseenSpending::Both);
+  CHECK(countedLeases(true) == UnrecordedSpending::None);
+  CHECK(countedLeases(false) == UnrecordedSpending::Both);
 }
 
 TEST(BudgetLeaseTable, evictsOnlyLeasesClearedBeforeTheRetentionPeriod) {
@@ -317,14 +318,14 @@
 
 TEST(LeaseAllowance, maxSpentIsTheMostThatALeaseAllows) {
   const LeaseAllowance allowance(knobs, 1000);
-  LONGS_EQUAL(0, allowance.maxSpent(UnseenSpending::None, 900));
-  LONGS_EQUAL(450, allowance.maxSpent(UnseenSpending::Primary, 300));
-  LONGS_EQUAL(600, allowance.maxSpent(UnseenSpending::Primary, 600));
-  LONGS_EQUAL(700, allowance.maxSpent(UnseenSpending::Primary, 900));
-  LONGS_EQUAL(150, allowance.maxSpent(UnseenSpending::Secondary, 100));
-  LONGS_EQUAL(150, allowance.maxSpent(UnseenSpending::Secondary, 900));
-  LONGS_EQUAL(600, allowance.maxSpent(UnseenSpending::Both, 300));
-  LONGS_EQUAL(850, allowance.maxSpent(UnseenSpending::Both, 900));
+  LONGS_EQUAL(0, allowance.maxSpent(UnrecordedSpending::None, 900));
+  LONGS_EQUAL(450, allowance.maxSpent(UnrecordedSpending::Primary, 300));
+  LONGS_EQUAL(600, allowance.maxSpent(UnrecordedSpending::Primary, 600));
+  LONGS_EQUAL(700, allowance.maxSpent(UnrecordedSpending::Primary, 900));
+  LONGS_EQUAL(150, allowance.maxSpent(UnrecordedSpending::Secondary, 100));
+  LONGS_EQUAL(150, allowance.maxSpent(UnrecordedSpending::Secondary, 900));
+  LONGS_EQUAL(600, allowance.maxSpent(UnrecordedSpending::Both, 300));
+  LONGS_EQUAL(850, allowance.maxSpent(UnrecordedSpending::Both, 900));
 }
 
 // Guards against shares that let a program exceed its budget by more than one turn when both leases
--- a/tests/ledger/budget_partition_test.cpp
+++ b/tests/ledger/budget_partition_test.cpp
@@ -257,7 +257,7 @@
   CHECK(again.partition.heldLeaseSlot() == BudgetLeaseSlot::Secondary);
   fleet.log.fault = FakeFault::Silent;
   CHECK(spend(again, "r1", 100) == ReservationOutcome::Granted);
-  LONGS_EQUAL(1, again.partition.counters().grantedAheadSecondary);
+  LONGS_EQUAL(1, again.partition.counters().grantedUnderSecondaryLease);
   for (int number = 0; number < 30; ++number) {
     fleet.spend(again, "s" + std::to_string(number), "program", 10, 1000, kTimeLeft);
   }
--- a/tests/ledger/ledger_fleet.h
+++ b/tests/ledger/ledger_fleet.h
@@ -24,8 +24,8 @@
 class FleetPeers final : public LedgerPeers {
  public:
   FleetPeers(Fleet& fleet, std::string own) : fleet_(fleet), own_(std::move(own)) {}
-  [[nodiscard]] std::vector<HomeCandidate> candidates() const override;
-  [[nodiscard]] bool areKnown() const override;
+  [[nodiscard]] std::vector<NodeCandidate> candidates() const override;
+  [[nodiscard]] bool isNodeListKnown() const override;
   void checkAlive(const std::string& address, Duration limit,
                   std::function<void(bool alive)> callback) override;
   void call(const std::string& address, const LedgerRequest& request, Duration timeLimit,
@@ -94,14 +94,15 @@
   }
   Node& node(int number) { return *nodes["node" + std::to_string(number)]; }
   /// \return the first and second coordinator of the program's budget.
-  std::vector<std::string> homesOfBudget() {
-    return HomeSelector({}).homesOf(LedgerPartitions({}).ofBudget("program"), {},
-                                    node(0).peers.candidates(), timers.now);
+  std::vector<std::string> budgetCoordinators() {
+    return RendezvousSelector({}).selectNodes(LedgerPartitions({}).ofBudget("program"), {},
+                                              node(0).peers.candidates(), timers.now);
   }
   /// \return the number of a node that is not in the list.
-  static int nodeThatIsNoneOf(const std::vector<std::string>& homes) {
+  static int nodeThatIsNoneOf(const std::vector<std::string>& coordinators) {
     int number = 0;
-    while (std::count(homes.begin(), homes.end(), "node" + std::to_string(number)) > 0) {
+    while (std::count(coordinators.begin(), coordinators.end(), "node" + std::to_string(number)) >
+           0) {
       ++number;
     }
     return number;
@@ -116,10 +117,10 @@
   bool known = true;                   ///< Whether the list of nodes is known.
 };
 
-inline bool FleetPeers::areKnown() const { return fleet_.known; }
+inline bool FleetPeers::isNodeListKnown() const { return fleet_.known; }
 
-inline std::vector<HomeCandidate> FleetPeers::candidates() const {
-  std::vector<HomeCandidate> candidates;
+inline std::vector<NodeCandidate> FleetPeers::candidates() const {
+  std::vector<NodeCandidate> candidates;
   for (const auto& [address, node] : fleet_.nodes) {
     candidates.push_back({address, node->zone, 1.0});
   }
--- a/tests/ledger/ledger_message_test.cpp
+++ b/tests/ledger/ledger_message_test.cpp
@@ -57,11 +57,11 @@
 TEST(LedgerMessage, undecidedReasonSurvivesEncodingAndDecoding) {
   LedgerReply reply;
   reply.undecided = UndecidedReason::UnseenSpending;
-  reply.unseenLeases = UnseenSpending::Both;
+  reply.unseenLeases = UnrecordedSpending::Both;
   reply.tokensUnseen = 600;
   const LedgerReply read = valueOf(decodeLedgerReply(encodeLedgerReply(reply)));
   CHECK(read.undecided == UndecidedReason::UnseenSpending);
-  CHECK(read.unseenLeases == UnseenSpending::Both);
+  CHECK(read.unseenLeases == UnrecordedSpending::Both);
   LONGS_EQUAL(600, read.tokensUnseen);
 }
 
@@ -69,10 +69,10 @@
   constexpr auto kOfANewerVersion = static_cast<UndecidedReason>(200);
   LedgerReply reply;
   reply.undecided = kOfANewerVersion;
-  reply.unseenLeases = static_cast<UnseenSpending>(9);
+  reply.unseenLeases = static_cast<UnrecordedSpending>(9);
   const LedgerReply read = valueOf(decodeLedgerReply(encodeLedgerReply(reply)));
   CHECK(read.undecided == UndecidedReason::Unknown);
-  CHECK(read.unseenLeases == UnseenSpending::None);
+  CHECK(read.unseenLeases == UnrecordedSpending::None);
   // Fields missing in the message of an older node get their defaults.
   const LedgerReply older = valueOf(decodeLedgerReply(encodeLedgerReply({})));
   CHECK(older.undecided == UndecidedReason::Unknown);
--- a/tests/ledger/refused_reservation_test.cpp
+++ b/tests/ledger/refused_reservation_test.cpp
@@ -46,7 +46,7 @@
   const ReservationReply reply = ask(next, "r2", 100);
   CHECK(reply.outcome == ReservationOutcome::Unavailable);
   CHECK(reply.reason == UndecidedReason::UnseenSpending);
-  CHECK(reply.unseenLeases == UnseenSpending::Primary);
+  CHECK(reply.unseenLeases == UnrecordedSpending::Primary);
   LONGS_EQUAL(600, reply.tokensUsed);
   LONGS_EQUAL(600,
               reply.tokensUnseen);  // A turn of 600 tokens may have been granted under that lease.
@@ -107,7 +107,7 @@
 
 TEST(RefusedLedgerCall, carriesTheReasonGivenByACoordinator) {
   log.fault = FakeFault::Silent;
-  const std::vector<std::string> both = fleet.homesOfBudget();
+  const std::vector<std::string> both = fleet.budgetCoordinators();
   const int asking = Fleet::nodeThatIsNoneOf(both);
   fleet.dead = {both[0]};
   const ReservationReply reply = reserve(asking, "r1");
@@ -121,7 +121,7 @@
 }
 
 TEST(RefusedLedgerCall, reportsThatNoNodeReplied) {
-  const std::vector<std::string> both = fleet.homesOfBudget();
+  const std::vector<std::string> both = fleet.budgetCoordinators();
   const int asking = Fleet::nodeThatIsNoneOf(both);
   log.fault = FakeFault::Silent;
   fleet.silent = {both[0], both[1]};
@@ -140,7 +140,7 @@
 }
 
 TEST(RefusedLedgerCall, grantNamesTheDecidingNode) {
-  const std::vector<std::string> both = fleet.homesOfBudget();
+  const std::vector<std::string> both = fleet.budgetCoordinators();
   const ReservationReply reply = reserve(Fleet::nodeThatIsNoneOf(both), "r1");
   CHECK(reply.outcome == ReservationOutcome::Granted);
   STRCMP_EQUAL(both[0].c_str(), reply.repliedBy.c_str());
--- a/tests/ledger/routed_ledger_test.cpp
+++ b/tests/ledger/routed_ledger_test.cpp
@@ -209,14 +209,14 @@
 
 TEST(RoutedLedger, reportsWhetherTheLogAcceptsWrites) {
   Node& node = fleet.node(0);
-  CHECK_TRUE(node.ledger.takesTurn({"t"}));
+  CHECK_TRUE(node.ledger.canStoreTurn({"t"}));
   CHECK(node.ledger.reservationOutlook("program") == ReservationOutlook::Likely);
   log.fault = FakeFault::Busy;
   reserve(0, "r1", 100, milliseconds(750));
   CHECK(node.ledger.reservationOutlook("program") == ReservationOutlook::Unlikely);
   log.fault = FakeFault::None;
   timers.advance(seconds(1));
-  CHECK_TRUE(node.ledger.takesTurn({"t"}));
+  CHECK_TRUE(node.ledger.canStoreTurn({"t"}));
   CHECK(node.ledger.reservationOutlook("program") == ReservationOutlook::Likely);
 }
 
@@ -258,15 +258,15 @@
 }
 
 TEST(RoutedLedger, aCallEndsWhenOneHomeIsDeadAndTheOtherSaysThatTheStoreDoesNotAnswer) {
-  const auto homes = fleet.homesOfBudget();
-  const int asking = Fleet::nodeThatIsNoneOf(homes);
+  const auto coordinators = fleet.budgetCoordinators();
+  const int asking = Fleet::nodeThatIsNoneOf(coordinators);
   // The second coordinator has detected that the store does not answer. The first one is dead and
   // does not refuse connections.
   log.fault = FakeFault::Busy;
-  fleet.nodes[homes[1]]->local.reserve({{"x", "program", 1}, 1000, {}}, seconds(3),
-                                       [](const ReservationReply&) {});
+  fleet.nodes[coordinators[1]]->local.reserve({{"x", "program", 1}, 1000, {}}, seconds(3),
+                                              [](const ReservationReply&) {});
   timers.advance(milliseconds(400));
-  fleet.silent = {homes[0]};
+  fleet.silent = {coordinators[0]};
   const Instant asked = timers.now;
   std::optional<Instant> ended;
   fleet.node(asking).ledger.reserve({{"r1", "program", 1}, 1000, {}}, seconds(2),
@@ -324,7 +324,7 @@
   CHECK_TRUE(storeTurn(0, "t1", "", "text"));
   fleet.known = false;
   const int reads = log.reads;
-  CHECK_FALSE(fleet.node(3).ledger.takesTurn({"t1"}));
+  CHECK_FALSE(fleet.node(3).ledger.canStoreTurn({"t1"}));
   CHECK(fleet.node(3).ledger.reservationOutlook("program") == ReservationOutlook::Unlikely);
   CHECK_TRUE(std::holds_alternative<LedgerUnavailable>(find(3, "t1")));
   LONGS_EQUAL(reads, log.reads);
@@ -370,8 +370,8 @@
 
 TEST(RoutedLedger, idleProgramUsageIsEvicted) {
   reserve(0, "r1", 100);
-  LONGS_EQUAL(100, fleet.node(0).ledger.knownUse("program"));
+  LONGS_EQUAL(100, fleet.node(0).ledger.knownTokenUse("program"));
   timers.advance(seconds(301));
   fleet.node(0).ledger.sweep();
-  LONGS_EQUAL(0, fleet.node(0).ledger.knownUse("program"));
+  LONGS_EQUAL(0, fleet.node(0).ledger.knownTokenUse("program"));
 }
