--- a/lab/sim/forwarding_core.h
+++ b/lab/sim/forwarding_core.h
@@ -28,7 +28,7 @@
   void onBundleEnvelope(std::string_view envelope, Instant now) override {
     inner_->onBundleEnvelope(envelope, now);
   }
-  void onMachineList(const std::vector<membership::MachineListLine>& lines, Instant now) override {
+  void onMachineList(const std::vector<membership::MachineListEntry>& lines, Instant now) override {
     inner_->onMachineList(lines, now);
   }
   void onBackendReport(const node::BackendReport& report, Instant now) override {
--- a/lab/sim/measured_core.cpp
+++ b/lab/sim/measured_core.cpp
@@ -95,7 +95,7 @@
   inner().onBundleEnvelope(envelope, now);
 }
 
-void MeasuredCore::onMachineList(const std::vector<membership::MachineListLine>& lines,
+void MeasuredCore::onMachineList(const std::vector<membership::MachineListEntry>& lines,
                                  Instant now) {
   const Stopwatch watch(usage_.coreNanoseconds, measuring_);
   inner().onMachineList(lines, now);
--- a/lab/sim/measured_core.h
+++ b/lab/sim/measured_core.h
@@ -34,7 +34,7 @@
   void onDispatchEvent(CallHandle handle, const engine::DispatchEvent& event, Instant now) override;
   void onPeerMessage(NodeId from, const node::PeerMessage& message, Instant now) override;
   void onBundleEnvelope(std::string_view envelope, Instant now) override;
-  void onMachineList(const std::vector<membership::MachineListLine>& lines, Instant now) override;
+  void onMachineList(const std::vector<membership::MachineListEntry>& lines, Instant now) override;
   void onBackendReport(const node::BackendReport& report, Instant now) override;
   void onLogAppended(std::uint64_t sequence, bool taken, Instant now) override;
   void onHoldResult(const engine::HoldResult& result, Instant now) override;
--- a/lab/sim/platform.cpp
+++ b/lab/sim/platform.cpp
@@ -68,13 +68,13 @@
   if (!node.running() || context_.network.isPartitioned(node.zone)) {
     return;
   }
-  std::map<std::pair<NodeId, Incarnation>, membership::MachineListLine> latest;
+  std::map<std::pair<NodeId, Incarnation>, membership::MachineListEntry> latest;
   for (const Line& line : lines_) {
     if (line.visibleAt <= context_.now()) {
       latest[{line.line.node, line.line.incarnation}] = line.line;
     }
   }
-  std::vector<membership::MachineListLine> list;
+  std::vector<membership::MachineListEntry> list;
   list.reserve(latest.size());
   for (const auto& [key, line] : latest) {
     list.push_back(line);
--- a/lab/sim/platform.h
+++ b/lab/sim/platform.h
@@ -58,7 +58,7 @@
  private:
   struct Line {
     Instant visibleAt;
-    membership::MachineListLine line;
+    membership::MachineListEntry line;
   };
   SimContext& context_;
   NodeHost& host_;
--- a/src/edge/exchange.cpp
+++ b/src/edge/exchange.cpp
@@ -56,7 +56,7 @@
   // Only a streaming request can be the first of its program; tools are called later.
   const bool isFirstTurn = isStreaming() && stage() == routing::WorkStage::FirstTurn;
   context_.quota.admit(*checked_.tenant,
-                       isFirstTurn ? quota::ProgramStage::Beginning : quota::ProgramStage::Begun,
+                       isFirstTurn ? quota::ProgramStage::Starting : quota::ProgramStage::Started,
                        [self = shared_from_this()](const quota::QuotaDecision& decision) {
                          self->onQuotaDecision(decision);
                        });
@@ -80,7 +80,7 @@
 
 void Exchange::returnQuotaToken() {
   if (holdsQuotaToken_ && !firstDispatchAt_) {
-    context_.quota.giveBack(checked_.tenant->name);
+    context_.quota.returnToken(checked_.tenant->name);
   }
   holdsQuotaToken_ = false;
 }
--- a/src/edge/exchange_refusals.cpp
+++ b/src/edge/exchange_refusals.cpp
@@ -36,16 +36,16 @@
 void Exchange::logQuotaUnknown(const quota::QuotaDecision& decision) {
   const quota::QuotaTrace trace = decision.trace.value_or(quota::QuotaTrace{});
   const std::string answerAge =
-      trace.lastAnswerAge ? std::to_string(wholeMilliseconds(*trace.lastAnswerAge)) : std::string();
+      trace.lastReplyAge ? std::to_string(wholeMilliseconds(*trace.lastReplyAge)) : std::string();
   context_.log.refusal("quota_unknown", {request_.programId, "quota_unknown"},
                        {{"request", request_.requestId},
                         {"program", request_.programId},
                         {"tenant", checked_.tenantName()},
                         {"partition", std::uint64_t{trace.partition}},
                         {"coordinator", trace.coordinator},
-                        {"last_answer_by", trace.lastAnswerBy},
+                        {"last_answer_by", trace.lastReplyFrom},
                         {"last_answer_ms", answerAge},
-                        {"last_answer_decided", std::uint64_t{trace.lastAnswerDecided}},
+                        {"last_answer_decided", std::uint64_t{trace.lastReplyDecided}},
                         {"waited_ms", wholeMilliseconds(trace.waited)}});
 }
 
--- a/src/edge/peer_monitor.cpp
+++ b/src/edge/peer_monitor.cpp
@@ -25,7 +25,7 @@
   detector.probePeriod = knobs.probePeriod;
   detector.probeTimeout = knobs.probeTimeout;
   detector.suspicionTimeout = knobs.suspicionTimeout;
-  detector.isolationSilence = knobs.isolationTimeout;
+  detector.isolationTimeout = knobs.isolationTimeout;
   detector.answersUnknownNodes = true;
   return detector;
 }
--- a/src/edge/quota_exchange.cpp
+++ b/src/edge/quota_exchange.cpp
@@ -50,7 +50,7 @@
 }
 
 void QuotaExchange::waitingLoop() {
-  isWaitingLoopRunning_ = service_->hasWaiting();
+  isWaitingLoopRunning_ = service_->hasWaitingRequests();
   if (isWaitingLoopRunning_) {
     timers_.runAfter(kWaitingTickPeriod, [this] {
       service_->onTick();
@@ -72,9 +72,9 @@
   }
 }
 
-void QuotaExchange::giveBack(const std::string& tenant) {
+void QuotaExchange::returnToken(const std::string& tenant) {
   if (service_) {
-    service_->giveBack(tenant);
+    service_->returnToken(tenant);
   }
 }
 
@@ -92,7 +92,7 @@
   return relayAddress.substr(0, relayAddress.rfind(':')) + portSuffix_;
 }
 
-std::vector<std::string> QuotaExchange::coordinatorsOf(std::uint32_t partition) const {
+std::vector<std::string> QuotaExchange::candidateCoordinators(std::uint32_t partition) const {
   const Instant now = clock_();
   Coordinators& known = coordinators_[partition];
   if (known.chosenAt != Instant{} && now - known.chosenAt < kCoordinatorsCacheTime) {
--- a/src/edge/quota_exchange.h
+++ b/src/edge/quota_exchange.h
@@ -33,7 +33,7 @@
 /// Transports the messages of `quota::QuotaService`, one per datagram, and drives its timers.
 /// Coordinators are chosen by rendezvous hashing over the serving nodes, like the hosts of ledger
 /// partitions.
-class QuotaExchange final : public quota::QuotaFleet, public quota::QuotaAdmission {
+class QuotaExchange final : public quota::QuotaFleetView, public quota::QuotaAdmission {
  public:
   /// \param timers outlives this object.
   /// \param incarnation unique for each process.
@@ -45,13 +45,14 @@
   Result<Success> listen(const std::string& ip, std::uint16_t port);
 
   void admit(const tenant::Tenant& tenant, quota::ProgramStage stage, Callback callback) override;
-  void giveBack(const std::string& tenant) override;
+  void returnToken(const std::string& tenant) override;
   /// Called at a planned stop, so that other nodes take over the partitions that this node
   /// coordinates.
   void endCoordination();
   [[nodiscard]] quota::QuotaCounters counters() const;
 
-  [[nodiscard]] std::vector<std::string> coordinatorsOf(std::uint32_t partition) const override;
+  [[nodiscard]] std::vector<std::string> candidateCoordinators(
+      std::uint32_t partition) const override;
   [[nodiscard]] std::vector<std::string> members() const override;
   [[nodiscard]] double ownShare() const override;
   [[nodiscard]] std::shared_ptr<const tenant::TenantDirectory> tenants() const override;
--- a/src/membership/membership_service.h
+++ b/src/membership/membership_service.h
@@ -26,7 +26,7 @@
 
 /// An entry of the platform's machine list. The list may be stale, and a node missing from it may
 /// still be running.
-struct MachineListLine {
+struct MachineListEntry {
   NodeId node;
   Incarnation incarnation;
   MemberState state = MemberState::Alive;  ///< Alive, Leaving or Terminated.
@@ -67,7 +67,7 @@
   /// A node that received no message for this long assumes that its own links failed: it suspects
   /// no member and declares none dead. At least `suspicionTimeout`, so that no suspicion that began
   /// in the meantime can expire.
-  Duration isolationSilence = seconds(1);
+  Duration isolationTimeout = seconds(1);
   /// Whether probes from unknown nodes are answered. Needed where nodes join at run time, since the
   /// prober may know this node before this node knows the prober.
   bool answersUnknownNodes = false;
@@ -84,12 +84,12 @@
   /// Removes a node; its table index is reused by the next one that is added.
   virtual void removeMember(NodeId node) = 0;
   virtual void onMembershipMessage(NodeId from, const MembershipMessage& message, Instant now) = 0;
-  virtual void onMachineList(const std::vector<MachineListLine>& lines, Instant now) = 0;
+  virtual void onMachineList(const std::vector<MachineListEntry>& lines, Instant now) = 0;
   virtual void onTick(Instant now) = 0;
   /// Disseminates that a back end is draining (`leaving`) or available again.
   virtual void announceBackend(std::uint32_t backendHash, bool leaving, Instant now) = 0;
   /// Sets the configuration bundle version that this node announces; never lowers it.
-  virtual void setBundleInForce(BundleVersion version) = 0;
+  virtual void setActiveBundleVersion(BundleVersion version) = 0;
   /// Announces a planned shutdown of this node to all members.
   virtual void beginLeave(Instant now) = 0;
   [[nodiscard]] virtual bool knows(NodeId node) const = 0;
--- a/src/membership/swim_membership.cpp
+++ b/src/membership/swim_membership.cpp
@@ -144,8 +144,8 @@
   sendProbe(*target, probe);
 }
 
-void SwimMembership::onMachineList(const std::vector<MachineListLine>& lines, Instant now) {
-  for (const MachineListLine& line : lines) {
+void SwimMembership::onMachineList(const std::vector<MachineListEntry>& lines, Instant now) {
+  for (const MachineListEntry& line : lines) {
     const std::optional<MemberIndex> index = table_.find(line.node);
     if (!index || line.incarnation < table_.updateAt(*index).incarnation) {
       continue;
@@ -225,7 +225,7 @@
 
 /// \return whether no message arrived for so long that this node's own links have probably failed.
 bool SwimMembership::isIsolated(Instant now) const {
-  return now - lastHeardAt_ >= knobs_.isolationSilence;
+  return now - lastHeardAt_ >= knobs_.isolationTimeout;
 }
 
 void SwimMembership::probeSuspects(Instant now) {
@@ -344,7 +344,7 @@
   return std::nullopt;
 }
 
-void SwimMembership::setBundleInForce(BundleVersion version) {
+void SwimMembership::setActiveBundleVersion(BundleVersion version) {
   bundleInForce_ = std::max(bundleInForce_, version);
 }
 
--- a/src/membership/swim_membership.h
+++ b/src/membership/swim_membership.h
@@ -23,10 +23,10 @@
   bool addMember(Member member) override;
   void removeMember(NodeId node) override;
   void onMembershipMessage(NodeId from, const MembershipMessage& message, Instant now) override;
-  void onMachineList(const std::vector<MachineListLine>& lines, Instant now) override;
+  void onMachineList(const std::vector<MachineListEntry>& lines, Instant now) override;
   void onTick(Instant now) override;
   void announceBackend(std::uint32_t backendHash, bool leaving, Instant now) override;
-  void setBundleInForce(BundleVersion version) override;
+  void setActiveBundleVersion(BundleVersion version) override;
   void beginLeave(Instant now) override;
   [[nodiscard]] bool knows(NodeId node) const override { return table_.find(node).has_value(); }
   [[nodiscard]] MemberState stateOf(NodeId node) const override;
--- a/src/node/core/composed_node_core.cpp
+++ b/src/node/core/composed_node_core.cpp
@@ -170,7 +170,7 @@
 void ComposedNodeCore::useBundle(Instant now) {
   const auto bundle = bundles_.inForce();
   runner_.setBundle(bundle, now);
-  membership_->setBundleInForce(bundle->version);
+  membership_->setActiveBundleVersion(bundle->version);
   observationStale_ = true;
 }
 
@@ -182,7 +182,7 @@
   }
 }
 
-void ComposedNodeCore::onMachineList(const std::vector<membership::MachineListLine>& lines,
+void ComposedNodeCore::onMachineList(const std::vector<membership::MachineListEntry>& lines,
                                      Instant now) {
   membership_->onMachineList(lines, now);
   settle(now);
--- a/src/node/core/composed_node_core.h
+++ b/src/node/core/composed_node_core.h
@@ -25,7 +25,7 @@
   void onDispatchEvent(CallHandle handle, const engine::DispatchEvent& event, Instant now) override;
   void onPeerMessage(NodeId from, const PeerMessage& message, Instant now) override;
   void onBundleEnvelope(std::string_view envelope, Instant now) override;
-  void onMachineList(const std::vector<membership::MachineListLine>& lines, Instant now) override;
+  void onMachineList(const std::vector<membership::MachineListEntry>& lines, Instant now) override;
   void onBackendReport(const BackendReport& report, Instant now) override;
   void onLogAppended(std::uint64_t sequence, bool taken, Instant now) override;
   void onHoldResult(const engine::HoldResult& result, Instant now) override;
--- a/src/node/core/node_core.h
+++ b/src/node/core/node_core.h
@@ -105,7 +105,7 @@
                                Instant now) = 0;
   virtual void onPeerMessage(NodeId from, const PeerMessage& message, Instant now) = 0;
   virtual void onBundleEnvelope(std::string_view envelope, Instant now) = 0;  ///< In log order.
-  virtual void onMachineList(const std::vector<membership::MachineListLine>& lines,
+  virtual void onMachineList(const std::vector<membership::MachineListEntry>& lines,
                              Instant now) = 0;
   virtual void onBackendReport(const BackendReport& report, Instant now) = 0;
   virtual void onLogAppended(std::uint64_t sequence, bool taken, Instant now) = 0;
--- a/src/node/daemon.cpp
+++ b/src/node/daemon.cpp
@@ -217,7 +217,7 @@
 }
 
 void Daemon::onMachines(const std::vector<services::Machine>& machines) {
-  std::vector<membership::MachineListLine> lines;
+  std::vector<membership::MachineListEntry> lines;
   lines.reserve(machines.size());
   for (const services::Machine& machine : machines) {
     lines.push_back({machine.node, machine.incarnation, stateOf(machine.state)});
--- a/src/quota/fleet_view.h
+++ b/src/quota/fleet_view.h
@@ -12,12 +12,13 @@
 namespace gorsetrail::quota {
 
 /// Access to members, tenants and the network; queried on each use.
-class QuotaFleet {
+class QuotaFleetView {
  public:
-  virtual ~QuotaFleet() = default;
+  virtual ~QuotaFleetView() = default;
   /// \return addresses of the candidate coordinators of a partition, best first. Nodes with the
   /// same member list agree on the first.
-  [[nodiscard]] virtual std::vector<std::string> coordinatorsOf(std::uint32_t partition) const = 0;
+  [[nodiscard]] virtual std::vector<std::string> candidateCoordinators(
+      std::uint32_t partition) const = 0;
   /// \return addresses of all members, including this node.
   [[nodiscard]] virtual std::vector<std::string> members() const = 0;
   /// \return this node's fraction of each limit, 0 to 1; 0 until the members are known.
--- a/src/quota/quota_admission.h
+++ b/src/quota/quota_admission.h
@@ -13,8 +13,8 @@
 
 /// Progress of the program that sent a request; programs already running have priority.
 enum class ProgramStage : std::uint8_t {
-  Beginning,  ///< The program's first request; rejecting it loses no work.
-  Begun,      ///< A later request; rejecting it loses the program's earlier work.
+  Starting,  ///< The program's first request; rejecting it loses no work.
+  Started,   ///< A later request; rejecting it loses the program's earlier work.
 };
 
 enum class QuotaVerdict : std::uint8_t {
@@ -27,10 +27,10 @@
 struct QuotaTrace {
   std::uint32_t partition = 0;  ///< Partition of the tenant.
   std::string coordinator;      ///< Coordinator asked last; empty if none was known.
-  std::string lastAnswerBy;     ///< Coordinator that last replied for the partition; may be empty.
-  std::optional<Duration> lastAnswerAge;  ///< Nothing if none has replied to this process.
-  bool lastAnswerDecided = false;  ///< False if that coordinator did not hold a sufficient share.
-  Duration waited{};               ///< Time the request has waited.
+  std::string lastReplyFrom;    ///< Coordinator that last replied for the partition; may be empty.
+  std::optional<Duration> lastReplyAge;  ///< Nothing if none has replied to this process.
+  bool lastReplyDecided = false;  ///< False if that coordinator did not hold a sufficient share.
+  Duration waited{};              ///< Time the request has waited.
 };
 
 struct QuotaDecision {
@@ -48,7 +48,7 @@
   /// Calls `callback` exactly once, synchronously if no other node has to be asked.
   virtual void admit(const tenant::Tenant& tenant, ProgramStage stage, Callback callback) = 0;
   /// Returns the token of a granted request that was not sent to any replica.
-  virtual void giveBack(const std::string& tenant) = 0;
+  virtual void returnToken(const std::string& tenant) = 0;
 };
 
 }  // namespace gorsetrail::quota
--- a/src/quota/quota_coordinator.cpp
+++ b/src/quota/quota_coordinator.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-QuotaCoordinator::QuotaCoordinator(QuotaFleet& fleet, const QuotaKnobs& knobs,
+QuotaCoordinator::QuotaCoordinator(QuotaFleetView& fleet, const QuotaKnobs& knobs,
                                    std::string ownAddress, std::uint64_t incarnation,
                                    std::function<Instant()> clock, RandomSource& random, Send send)
     : fleet_(fleet),
@@ -90,7 +90,7 @@
     return;
   }
   for (std::uint32_t partition = 0; partition < knobs_.partitions; ++partition) {
-    const std::vector<std::string> candidates = fleet_.coordinatorsOf(partition);
+    const std::vector<std::string> candidates = fleet_.candidateCoordinators(partition);
     const bool isFirst = !candidates.empty() && candidates.front() == ownAddress_;
     const auto known = partitionStates_.find(partition);
     const bool isAsked = known != partitionStates_.end() && now < known->second.activeUntil;
@@ -108,7 +108,7 @@
   LeaseReleases releases;
   for (auto& [partition, state] : partitionStates_) {
     releases.push_back({partition, state.round});
-    for (const std::string& candidate : fleet_.coordinatorsOf(partition)) {
+    for (const std::string& candidate : fleet_.candidateCoordinators(partition)) {
       if (candidate != ownAddress_) {
         handOver(partition, state, candidate);
         break;
--- a/src/quota/quota_coordinator.h
+++ b/src/quota/quota_coordinator.h
@@ -26,7 +26,7 @@
 
   /// \param fleet and \param random must outlive this object. \param incarnation differs between
   /// processes.
-  QuotaCoordinator(QuotaFleet& fleet, const QuotaKnobs& knobs, std::string ownAddress,
+  QuotaCoordinator(QuotaFleetView& fleet, const QuotaKnobs& knobs, std::string ownAddress,
                    std::uint64_t incarnation, std::function<Instant()> clock, RandomSource& random,
                    Send send);
 
@@ -80,7 +80,7 @@
   /// accounts arrive before the successor can grant tokens.
   void handOver(std::uint32_t partition, PartitionState& state, const std::string& successor);
 
-  QuotaFleet& fleet_;
+  QuotaFleetView& fleet_;
   QuotaKnobs knobs_;
   std::string ownAddress_;
   std::uint64_t incarnation_;
--- a/src/quota/quota_service.cpp
+++ b/src/quota/quota_service.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-QuotaService::QuotaService(QuotaFleet& fleet, const QuotaKnobs& knobs, std::string ownAddress,
+QuotaService::QuotaService(QuotaFleetView& fleet, const QuotaKnobs& knobs, std::string ownAddress,
                            std::uint64_t incarnation, std::function<Instant()> clock)
     : fleet_(fleet),
       knobs_(knobs),
@@ -62,7 +62,7 @@
 
 bool QuotaService::trySpend(Account& account, ProgramStage stage, Instant now) {
   Tokens& tokens = account.tokens;
-  const bool mayUse = stage == ProgramStage::Begun || tokens.mayStartPrograms;
+  const bool mayUse = stage == ProgramStage::Started || tokens.mayStartPrograms;
   if (!mayUse || tokens.count == 0 || now >= tokens.expiresAt) {
     return false;
   }
@@ -98,7 +98,7 @@
 
 // The grant of the returned token is unknown. It gets the earliest expiry of all spent tokens, so
 // it is never used after its own expiry.
-void QuotaService::giveBack(const std::string& tenant) {
+void QuotaService::returnToken(const std::string& tenant) {
   const auto found = accounts_.find(tenant);
   if (found == accounts_.end()) {
     return;
@@ -131,7 +131,7 @@
   if (preferred != preferredCoordinators_.end() && preferred->second != excluded) {
     return preferred->second;
   }
-  for (const std::string& candidate : fleet_.coordinatorsOf(partition)) {
+  for (const std::string& candidate : fleet_.candidateCoordinators(partition)) {
     if (candidate != excluded) {
       return candidate;
     }
@@ -150,7 +150,8 @@
   request.requestId = nextRequestId_++;
   request.tenant = account.tenant.name;
   for (const Waiter& waiter : account.waiters) {
-    ++(waiter.stage == ProgramStage::Begun ? request.tokensForStarted : request.tokensForStarting);
+    ++(waiter.stage == ProgramStage::Started ? request.tokensForStarted
+                                             : request.tokensForStarting);
   }
   // The remaining tokens have expired or do not serve the waiters; this node no longer uses them.
   request.returned = account.tokens.count;
@@ -262,7 +263,7 @@
     account.waiters.pop_front();
   }
   std::stable_partition(decided.begin(), decided.end(),
-                        [](const Waiter& waiter) { return waiter.stage == ProgramStage::Begun; });
+                        [](const Waiter& waiter) { return waiter.stage == ProgramStage::Started; });
   const bool isExpired = now >= account.tokens.expiresAt;
   const std::uint32_t granted = account.tokens.count;
   const Instant usableAt = now + reply.usableAfter;
@@ -394,9 +395,9 @@
   trace.coordinator = coordinator;
   trace.waited = now - waitingSince;
   if (const auto last = lastAnswers_.find(trace.partition); last != lastAnswers_.end()) {
-    trace.lastAnswerBy = last->second.coordinator;
-    trace.lastAnswerAge = now - last->second.at;
-    trace.lastAnswerDecided = last->second.decided;
+    trace.lastReplyFrom = last->second.coordinator;
+    trace.lastReplyAge = now - last->second.at;
+    trace.lastReplyDecided = last->second.decided;
   }
   return trace;
 }
--- a/src/quota/quota_service.h
+++ b/src/quota/quota_service.h
@@ -43,20 +43,20 @@
 class QuotaService final : public QuotaAdmission {
  public:
   /// \param fleet must outlive this object. \param incarnation differs between processes.
-  QuotaService(QuotaFleet& fleet, const QuotaKnobs& knobs, std::string ownAddress,
+  QuotaService(QuotaFleetView& fleet, const QuotaKnobs& knobs, std::string ownAddress,
                std::uint64_t incarnation, std::function<Instant()> clock);
 
   void admit(const tenant::Tenant& tenant, ProgramStage stage, Callback callback) override;
-  void giveBack(const std::string& tenant) override;
+  void returnToken(const std::string& tenant) override;
   void onMessage(const std::string& from, const QuotaMessage& message);
-  /// Handles timeouts and sends due messages. Call every few milliseconds while `hasWaiting`,
-  /// otherwise every `QuotaKnobs::leaseRenewalInterval`.
+  /// Handles timeouts and sends due messages. Call every few milliseconds while
+  /// `hasWaitingRequests`, otherwise every `QuotaKnobs::leaseRenewalInterval`.
   void onTick();
   /// Stops coordinating before a planned shutdown; nodes may lease their shares to another
   /// coordinator.
   void endCoordination() { coordinator_.resign(); }
   /// \return whether requests are waiting for tokens.
-  [[nodiscard]] bool hasWaiting() const { return waitingCount_ > 0; }
+  [[nodiscard]] bool hasWaitingRequests() const { return waitingCount_ > 0; }
   [[nodiscard]] QuotaCounters counters() const {
     QuotaCounters counters = counters_;
     counters.tokenReplies = coordinator_.tokenReplies();
@@ -66,7 +66,7 @@
 
  private:
   struct Waiter {
-    ProgramStage stage = ProgramStage::Beginning;
+    ProgramStage stage = ProgramStage::Starting;
     Instant waitingSince;
     Callback callback;
   };
@@ -143,7 +143,7 @@
   void completeOldestWaiter(Account& account, const QuotaDecision& decision);
   [[nodiscard]] Duration addJitter(Duration retryAfter);
 
-  QuotaFleet& fleet_;
+  QuotaFleetView& fleet_;
   QuotaKnobs knobs_;
   std::string ownAddress_;
   std::function<Instant()> clock_;
--- a/src/quota/static_shares.cpp
+++ b/src/quota/static_shares.cpp
@@ -28,7 +28,7 @@
   callback({QuotaVerdict::OverLimit, std::chrono::duration_cast<Duration>(wait)});
 }
 
-void StaticShares::giveBack(const std::string& tenant) {
+void StaticShares::returnToken(const std::string& tenant) {
   const auto found = accounts_.find(tenant);
   if (found != accounts_.end()) {
     found->second.level += 1.0;
--- a/src/quota/static_shares.h
+++ b/src/quota/static_shares.h
@@ -19,7 +19,7 @@
       : share_(std::move(share)), clock_(std::move(clock)) {}
 
   void admit(const tenant::Tenant& tenant, ProgramStage stage, Callback callback) override;
-  void giveBack(const std::string& tenant) override;
+  void returnToken(const std::string& tenant) override;
 
  private:
   struct Account {
--- a/tests/edge/exchange_tenant_test.cpp
+++ b/tests/edge/exchange_tenant_test.cpp
@@ -173,9 +173,9 @@
   start(later, "alice-key");
   start(ExchangeWorld::request("unsafe"), "alice-key");
   LONGS_EQUAL(3, world.quota.asked.size());
-  CHECK(world.quota.asked[0].second == quota::ProgramStage::Beginning);
-  CHECK(world.quota.asked[1].second == quota::ProgramStage::Begun);
-  CHECK(world.quota.asked[2].second == quota::ProgramStage::Begun);
+  CHECK(world.quota.asked[0].second == quota::ProgramStage::Starting);
+  CHECK(world.quota.asked[1].second == quota::ProgramStage::Started);
+  CHECK(world.quota.asked[2].second == quota::ProgramStage::Started);
 }
 
 TEST(ExchangeTenant, returnsAQuotaTokenThatWasNotUsed) {
--- a/tests/edge/exchange_world.h
+++ b/tests/edge/exchange_world.h
@@ -75,7 +75,7 @@
       callback(decision);
     }
   }
-  void giveBack(const std::string& tenant) override { givenBack.push_back(tenant); }
+  void returnToken(const std::string& tenant) override { givenBack.push_back(tenant); }
 
   quota::QuotaDecision decision;
   bool isDeferred = false;
--- a/tests/membership/dissemination_test.cpp
+++ b/tests/membership/dissemination_test.cpp
@@ -89,20 +89,20 @@
 
 TEST(Dissemination, NewerBundleIsReportedOncePerPeerAndVersion) {
   MembershipNetwork network(5);
-  network.service(1).setBundleInForce(BundleVersion(4));
+  network.service(1).setActiveBundleVersion(BundleVersion(4));
   network.run(seconds(4));
   const auto& reports = network.at(2).newerBundles;
   CHECK_EQUAL(1U, reports.size());
   CHECK_EQUAL(1U, reports.front().peer.value());
   CHECK_EQUAL(4U, reports.front().version.value());
-  network.service(2).setBundleInForce(BundleVersion(4));
+  network.service(2).setActiveBundleVersion(BundleVersion(4));
   network.run(seconds(20));
   CHECK_EQUAL(1U, network.at(2).newerBundles.size());
 }
 
 TEST(Dissemination, NewerBundleIsReportedAgainWhenItIsStillMissing) {
   MembershipNetwork network(3);
-  network.service(1).setBundleInForce(BundleVersion(4));
+  network.service(1).setActiveBundleVersion(BundleVersion(4));
   network.run(seconds(20));
   CHECK(network.at(2).newerBundles.size() >= 2);
   CHECK(network.at(2).newerBundles.size() <= 4);
--- a/tests/membership/member_life_test.cpp
+++ b/tests/membership/member_life_test.cpp
@@ -41,7 +41,7 @@
   MembershipNetwork network(10);
   network.run(seconds(5));
   network.at(4).running = false;
-  const std::vector<MachineListLine> list{{NodeId(4), Incarnation(1), MemberState::Terminated}};
+  const std::vector<MachineListEntry> list{{NodeId(4), Incarnation(1), MemberState::Terminated}};
   network.service(1).onMachineList(list, network.now());
   network.run(seconds(5));
   CHECK(network.allSee(4, MemberState::Terminated));
--- a/tests/node/fake_node_core.h
+++ b/tests/node/fake_node_core.h
@@ -16,11 +16,11 @@
   [[nodiscard]] bool knows(NodeId /*node*/) const override { return true; }
   void onMembershipMessage(NodeId /*from*/, const membership::MembershipMessage& /*message*/,
                            Instant /*now*/) override {}
-  void onMachineList(const std::vector<membership::MachineListLine>& /*lines*/,
+  void onMachineList(const std::vector<membership::MachineListEntry>& /*lines*/,
                      Instant /*now*/) override {}
   void onTick(Instant /*now*/) override {}
   void announceBackend(std::uint32_t /*hash*/, bool /*leaving*/, Instant /*now*/) override {}
-  void setBundleInForce(BundleVersion /*version*/) override {}
+  void setActiveBundleVersion(BundleVersion /*version*/) override {}
   void beginLeave(Instant /*now*/) override {}
   [[nodiscard]] membership::MemberState stateOf(NodeId node) const override {
     return node == NodeId(1) ? membership::MemberState::Alive : membership::MemberState::Suspected;
@@ -47,7 +47,7 @@
   void onBundleEnvelope(std::string_view envelope, Instant /*now*/) override {
     envelopes.emplace_back(envelope);
   }
-  void onMachineList(const std::vector<membership::MachineListLine>& lines,
+  void onMachineList(const std::vector<membership::MachineListEntry>& lines,
                      Instant /*now*/) override {
     machineLines = lines;
   }
@@ -78,7 +78,7 @@
   std::vector<CallHandle> gone;
   std::vector<std::pair<CallHandle, ProgramKey>> closes;
   std::vector<std::string> envelopes;
-  std::vector<membership::MachineListLine> machineLines;
+  std::vector<membership::MachineListEntry> machineLines;
   std::vector<BackendReport> reports;
   std::vector<std::pair<std::uint64_t, bool>> appended;
   std::vector<bundle::Backend> observed;
--- a/tests/quota/quota_fleet.h
+++ b/tests/quota/quota_fleet.h
@@ -52,7 +52,7 @@
         tenant, stage, [this, name = tenant.name, stage](QuotaDecision decision) {
           if (decision.verdict == QuotaVerdict::Granted) {
             grants[name].push_back(timers.now);
-            ++(stage == ProgramStage::Begun ? begunGranted : beginningGranted)[name];
+            ++(stage == ProgramStage::Started ? begunGranted : beginningGranted)[name];
           } else {
             ++rejected[name];
             lastRetryAfter = decision.retryAfter;
@@ -61,8 +61,8 @@
         });
   }
   /// Returns the token of a granted request that was not sent.
-  void giveBack(std::size_t node, const tenant::Tenant& tenant) {
-    nodes_[node]->service->giveBack(tenant.name);
+  void returnToken(std::size_t node, const tenant::Tenant& tenant) {
+    nodes_[node]->service->returnToken(tenant.name);
   }
   void crash(std::size_t node) { nodes_[node]->service.reset(); }
   /// Starts a planned shutdown: the node still serves requests but no longer coordinates.
@@ -141,11 +141,12 @@
   std::size_t coordinatorChanges = 0;
 
  private:
-  struct Node final : QuotaFleet {
+  struct Node final : QuotaFleetView {
     Node(SimulatedFleet& owner, std::size_t number)
         : fleet(owner), index(number), address(std::to_string(number)) {}
 
-    [[nodiscard]] std::vector<std::string> coordinatorsOf(std::uint32_t partition) const override {
+    [[nodiscard]] std::vector<std::string> candidateCoordinators(
+        std::uint32_t partition) const override {
       std::vector<std::string> candidates;
       for (std::size_t step = 0; step < fleet.size() && candidates.size() < 2; ++step) {
         const std::size_t other = (partition * 7 + step) % fleet.size();
@@ -237,7 +238,7 @@
     if (!ticked.isSuspended) {
       ticked.service->onTick();
     }
-    const Duration period = milliseconds(ticked.service->hasWaiting() ? 10 : 50);
+    const Duration period = milliseconds(ticked.service->hasWaitingRequests() ? 10 : 50);
     timers.runAfter(period, [this, node, incarnation] { tick(node, incarnation); });
   }
 
--- a/tests/quota/quota_pool_test.cpp
+++ b/tests/quota/quota_pool_test.cpp
@@ -220,7 +220,7 @@
   const tenant::Tenant tenant{"t", {}, {}, {100, 50}};
   std::size_t granted = 0;
   for (int step = 0; step < 1000; ++step) {
-    shares.admit(tenant, ProgramStage::Begun, [&granted](QuotaDecision decision) {
+    shares.admit(tenant, ProgramStage::Started, [&granted](QuotaDecision decision) {
       granted += decision.verdict == QuotaVerdict::Granted ? 1 : 0;
     });
     now += milliseconds(10);
--- a/tests/quota/quota_service_test.cpp
+++ b/tests/quota/quota_service_test.cpp
@@ -37,7 +37,7 @@
         for (int count = static_cast<int>(whole); count > 0; --count) {
           const bool begins = fleet.random().below(4) == 0;
           fleet.request(fleet.random().below(fleet.size()), tenant,
-                        begins ? ProgramStage::Beginning : ProgramStage::Begun);
+                        begins ? ProgramStage::Starting : ProgramStage::Started);
         }
       }
       fleet.timers.advance(step);
@@ -183,7 +183,7 @@
   fleet.timers.advance(seconds(2));
   fleet.grants.clear();
   for (int step = 0; step < 2000; ++step) {
-    fleet.request(3, huge, ProgramStage::Begun);
+    fleet.request(3, huge, ProgramStage::Started);
     fleet.timers.advance(milliseconds(5));
   }
   const std::size_t most = fleet.mostGrantedIn(kWindow, "huge");
@@ -214,7 +214,7 @@
   SimulatedFleet fleet(3, directoryOf({limited("free", 0, 0)}), 11);
   fleet.timers.advance(seconds(2));
   for (int count = 0; count < 100; ++count) {
-    fleet.request(0, limited("free", 0, 0), ProgramStage::Beginning);
+    fleet.request(0, limited("free", 0, 0), ProgramStage::Starting);
   }
   LONGS_EQUAL(100, fleet.grants["free"].size());
   LONGS_EQUAL(0, fleet.messages);
@@ -231,15 +231,15 @@
   }
   fleet.timers.advance(seconds(3));
   for (int request = 0; request < 400; ++request) {
-    fleet.request(kNodes - 1, large, ProgramStage::Begun);
+    fleet.request(kNodes - 1, large, ProgramStage::Started);
   }
   fleet.timers.advance(seconds(4));
   CHECK_TRUE(fleet.lastTrace.has_value());
   const QuotaTrace trace = fleet.lastTrace.value_or(QuotaTrace{});
   CHECK_FALSE(trace.coordinator.empty());
-  CHECK_FALSE(trace.lastAnswerBy.empty());
-  CHECK(trace.lastAnswerAge.value_or(Duration::zero()) >= seconds(3));
-  CHECK_TRUE(trace.lastAnswerDecided);
+  CHECK_FALSE(trace.lastReplyFrom.empty());
+  CHECK(trace.lastReplyAge.value_or(Duration::zero()) >= seconds(3));
+  CHECK_TRUE(trace.lastReplyDecided);
   CHECK(trace.waited >= QuotaKnobs{}.maxWait);
 }
 
@@ -359,7 +359,7 @@
   // Requests arrive only at nodes that prefer one of the two coordinators.
   for (int step = 0; step < 2000; ++step) {
     const std::size_t odd = fleet.random().below(kNodes / 2) * 2 + 1;
-    fleet.request(odd, large, ProgramStage::Begun);
+    fleet.request(odd, large, ProgramStage::Started);
     fleet.timers.advance(milliseconds(4));
   }
   checkWithinLimits(fleet);
@@ -443,20 +443,20 @@
   SimulatedFleet fleet(4, directoryOf(all), 41);
   fleet.lossRate = 0;
   settle(fleet);
-  fleet.request(0, middle, ProgramStage::Begun);
+  fleet.request(0, middle, ProgramStage::Started);
   fleet.timers.advance(milliseconds(300));
-  fleet.request(0, middle, ProgramStage::Begun);
+  fleet.request(0, middle, ProgramStage::Started);
   fleet.timers.advance(milliseconds(20));
   LONGS_EQUAL(2, fleet.grants["middle"].size());
-  fleet.giveBack(0, middle);  // The service cannot tell which token this is.
+  fleet.returnToken(0, middle);  // The service cannot tell which token this is.
   fleet.timers.advance(milliseconds(180));
   const std::uint64_t atOnce = fleet.service(0).counters().grantedAtOnce;
-  fleet.request(0, middle, ProgramStage::Begun);
+  fleet.request(0, middle, ProgramStage::Started);
   LONGS_EQUAL(atOnce, fleet.service(0).counters().grantedAtOnce);
   fleet.timers.advance(milliseconds(20));
   LONGS_EQUAL(3, fleet.grants["middle"].size());
-  fleet.giveBack(0, middle);
-  fleet.request(0, middle, ProgramStage::Begun);  // The returned token has not expired.
+  fleet.returnToken(0, middle);
+  fleet.request(0, middle, ProgramStage::Started);  // The returned token has not expired.
   LONGS_EQUAL(atOnce + 1, fleet.service(0).counters().grantedAtOnce);
 }
 
@@ -471,9 +471,9 @@
   };
   for (int incarnation = 0; incarnation < 5; ++incarnation) {
     // Node 3 is not the first candidate, so its requests are sent to another node.
-    fleet.request(3, large, ProgramStage::Begun);
-    fleet.request(3, middle, ProgramStage::Begun);
-    fleet.request(3, small, ProgramStage::Begun);
+    fleet.request(3, large, ProgramStage::Started);
+    fleet.request(3, middle, ProgramStage::Started);
+    fleet.request(3, small, ProgramStage::Started);
     fleet.timers.advance(milliseconds(20));
     fleet.crash(3);
     fleet.start(3);
