--- a/src/edge/edge_context.h
+++ b/src/edge/edge_context.h
@@ -27,8 +27,8 @@
 
 /// When the node last read the store successfully; gives the age of its tables.
 struct StoreReadTimes {
-  Instant configurationHeardAt;
-  Instant replicasHeardAt;
+  Instant configurationReadAt;
+  Instant replicasReadAt;
 };
 
 /// Limits and timeouts of one request.
@@ -42,7 +42,7 @@
   Duration suspicionTime = milliseconds(1500);
   /// How long a replica that refused a request is avoided; also the delay before the request is
   /// retried.
-  Duration fullTime = milliseconds(60);
+  Duration refusedReplicaAvoidTime = milliseconds(60);
   Duration retryAfterFull = milliseconds(150);
   Duration retryAfterStop = milliseconds(10);
   Duration retryAfterOverload = milliseconds(400);
@@ -51,21 +51,21 @@
   Duration retryAfterStore = milliseconds(250);
   Duration retryAfterReservation = milliseconds(400);
   /// Longest wait for a reservation while other reservations of its partition fail.
-  Duration unlikelyReservationLimit = milliseconds(300);
+  Duration failingReservationTimeout = milliseconds(300);
   /// Longest wait for a reservation that may fail; a slow store still answers within this time.
-  Duration doubtfulReservationLimit = milliseconds(1000);
+  Duration uncertainReservationTimeout = milliseconds(1000);
   /// Delay before the retry of a reservation whose turn was dispatched while it was pending.
-  Duration reservationPause = milliseconds(150);
+  Duration reservationRetryDelay = milliseconds(150);
   Duration connectTimeLimit = milliseconds(400);
   /// After this time without any data from a replica, a test connection to it is opened.
-  Duration silence = milliseconds(400);
+  Duration reachabilityCheckDelay = milliseconds(400);
   /// A dispatch without a response for this time counts as failed, so that other requests avoid the
   /// replica.
-  Duration mute = milliseconds(1000);
+  Duration noResponseFailureTime = milliseconds(1000);
   /// Time limit of the test connection; a replica that does not answer may have ended.
   Duration reachabilityLimit = milliseconds(250);
   /// A route missing from a configuration older than this may have been added since.
-  Duration configurationTrust = milliseconds(1800);
+  Duration maximumConfigurationAge = milliseconds(1800);
 };
 
 /// Services, tables and settings that requests use. Owned by the daemon or a test; outlives every
--- a/src/edge/edge_daemon.cpp
+++ b/src/edge/edge_daemon.cpp
@@ -56,8 +56,8 @@
 
 }  // namespace
 
-EdgeDaemon::EdgeDaemon(boost::asio::io_context& context, EdgeSettings settings, EdgeParts parts,
-                       std::uint64_t seed)
+EdgeDaemon::EdgeDaemon(boost::asio::io_context& context, EdgeSettings settings,
+                       EdgeDependencies parts, std::uint64_t seed)
     : ioContext_(context),
       settings_(std::move(settings)),
       zones_(settings_.regionOfZone),
@@ -434,13 +434,13 @@
 
 void EdgeDaemon::reload(EdgeSettings settings) {
   settings.listen = settings_.listen;
-  settings.switchedOff = settings_.switchedOff;
+  settings.disabledMechanisms = settings_.disabledMechanisms;
   settings_ = std::move(settings);
   log_.important("reloaded", {{"node", settings_.nodeName}, {"store", settings_.store.address}});
   onZonesChanged();
 }
 
-void EdgeDaemon::refuseReload(const std::vector<Error>& errors) {
+void EdgeDaemon::reportInvalidReload(const std::vector<Error>& errors) {
   for (const Error& error : errors) {
     log_.important("reload_refused", {{"error", error.toText()}});
   }
--- a/src/edge/edge_daemon.h
+++ b/src/edge/edge_daemon.h
@@ -39,7 +39,7 @@
 namespace gorsetrail::edge {
 
 /// Dependencies that the embedding program provides; they outlive the daemon.
-struct EdgeParts {
+struct EdgeDependencies {
   const WireAdapter& wire;
   const DocumentAdapter& documents;
   logstore::LogStore& store;  ///< Makes single attempts; the daemon adds retries.
@@ -52,7 +52,7 @@
 /// members), exchanges state with other nodes, and drains requests on a planned stop.
 class EdgeDaemon {
  public:
-  EdgeDaemon(boost::asio::io_context& context, EdgeSettings settings, EdgeParts parts,
+  EdgeDaemon(boost::asio::io_context& context, EdgeSettings settings, EdgeDependencies parts,
              std::uint64_t seed);
   ~EdgeDaemon();
   EdgeDaemon(const EdgeDaemon&) = delete;
@@ -67,7 +67,7 @@
   /// mechanisms are ignored.
   void reload(EdgeSettings settings);
   /// Logs that new settings could not be read; the current ones stay in force.
-  void refuseReload(const std::vector<Error>& errors);
+  void reportInvalidReload(const std::vector<Error>& errors);
   /// Timers on the daemon's event loop, for other work of the embedding program.
   [[nodiscard]] services::TimerService& timers() { return *timers_; }
 
@@ -172,7 +172,7 @@
   /// The newest valid configuration if it was refused because it names an unknown region; empty
   /// otherwise.
   std::string refusedConfiguration_;
-  EdgeParts parts_;
+  EdgeDependencies parts_;
   services::TimerServicePtr timers_;
   std::function<Instant()> clock_;
   EventLog log_;
--- a/src/edge/edge_daemon_figures.cpp
+++ b/src/edge/edge_daemon_figures.cpp
@@ -53,8 +53,8 @@
   values.membersSilent = peerMonitor_.suspectedOrDeadNodes();
   values.configurationVersion = routes_.inForce() ? routes_.inForce()->version.value() : 0;
   values.configurationAgeMilliseconds =
-      ageMilliseconds(now, context_.freshness.configurationHeardAt);
-  values.replicasAgeMilliseconds = ageMilliseconds(now, context_.freshness.replicasHeardAt);
+      ageMilliseconds(now, context_.freshness.configurationReadAt);
+  values.replicasAgeMilliseconds = ageMilliseconds(now, context_.freshness.replicasReadAt);
   values.logLinesDropped = log_.leftOut();
   values.replicaRecordsUnreadable = unreadableRecords_.count(RecordKind::Replica);
   values.memberRecordsUnreadable = unreadableRecords_.count(RecordKind::Member);
--- a/src/edge/edge_daemon_followers.cpp
+++ b/src/edge/edge_daemon_followers.cpp
@@ -32,7 +32,7 @@
     onOperatorRecordsListed(keys);
   };
   observer.onFresh = [this](Instant askedAt) {
-    context_.freshness.configurationHeardAt = askedAt;
+    context_.freshness.configurationReadAt = askedAt;
     coldReplicas_.onEvacuationsFresh(askedAt);
     onTopicFresh("configuration");
   };
@@ -159,7 +159,7 @@
     log_.important("replicas_listed", {{"count", std::uint64_t{keys.size()}}});
   };
   observer.onFresh = [this](Instant askedAt) {
-    context_.freshness.replicasHeardAt = askedAt;
+    context_.freshness.replicasReadAt = askedAt;
     coldReplicas_.onFresh(askedAt);
     onTopicFresh("replicas");
   };
@@ -376,8 +376,8 @@
       {{"topic", topic},
        {"fault", logstore::storeFaultName(error.fault)},
        {"reason", error.reason},
-       {"configuration_age_ms", ageMilliseconds(now, context_.freshness.configurationHeardAt)},
-       {"replicas_age_ms", ageMilliseconds(now, context_.freshness.replicasHeardAt)}});
+       {"configuration_age_ms", ageMilliseconds(now, context_.freshness.configurationReadAt)},
+       {"replicas_age_ms", ageMilliseconds(now, context_.freshness.replicasReadAt)}});
 }
 
 }  // namespace gorsetrail::edge
--- a/src/edge/edge_knobs.cpp
+++ b/src/edge/edge_knobs.cpp
@@ -89,7 +89,7 @@
     knobs.suspicionTime = Duration::zero();
   }
   if (!settings.uses(Mechanism::SilenceChecks)) {
-    knobs.silence = kNever;
+    knobs.reachabilityCheckDelay = kNever;
   }
   return knobs;
 }
--- a/src/edge/edge_settings.h
+++ b/src/edge/edge_settings.h
@@ -63,9 +63,11 @@
   TimeBounds bounds;
   std::uint64_t memoryBytes = std::uint64_t{256} * 1024 * 1024;
   std::uint32_t maximumDescriptors = 1024;
-  MechanismSet switchedOff;
+  MechanismSet disabledMechanisms;
 
-  [[nodiscard]] bool uses(Mechanism mechanism) const { return !switchedOff.contains(mechanism); }
+  [[nodiscard]] bool uses(Mechanism mechanism) const {
+    return !disabledMechanisms.contains(mechanism);
+  }
 };
 
 }  // namespace gorsetrail::edge
--- a/src/edge/exchange.cpp
+++ b/src/edge/exchange.cpp
@@ -193,9 +193,9 @@
     case ledger::ReservationOutlook::Likely:
       break;
     case ledger::ReservationOutlook::Doubtful:
-      return context_.knobs.doubtfulReservationLimit;
+      return context_.knobs.uncertainReservationTimeout;
     case ledger::ReservationOutlook::Unlikely:
-      return context_.knobs.unlikelyReservationLimit;
+      return context_.knobs.failingReservationTimeout;
   }
   return timeLeft() - kAnswerMargin;
 }
@@ -256,10 +256,10 @@
     return;
   }
   reservationRetried_ = true;
-  context_.timers.runAfter(context_.knobs.reservationPause, [weak = weak_from_this()] {
+  context_.timers.runAfter(context_.knobs.reservationRetryDelay, [weak = weak_from_this()] {
     const auto self = weak.lock();
     if (self && !self->ended_) {
-      self->reserve(false, self->context_.knobs.unlikelyReservationLimit);
+      self->reserve(false, self->context_.knobs.failingReservationTimeout);
     }
   });
 }
--- a/src/edge/exchange.h
+++ b/src/edge/exchange.h
@@ -96,7 +96,8 @@
   /// \param isRunning see `abandonUnsentDispatch`.
   /// \return the state of the request afterwards.
   [[nodiscard]] FailedDispatch abandonUnservedDispatch(bool isRunning);
-  /// Calls `onSilenceTimeout` if the dispatch is still in progress after `ExchangeKnobs::silence`.
+  /// Calls `onSilenceTimeout` if the dispatch is still in progress after
+  /// `ExchangeKnobs::reachabilityCheckDelay`.
   void startSilenceTimer();
   void onSilenceTimeout();
   /// Cancels a dispatch that the replica may have begun to execute but will not finish.
@@ -182,7 +183,8 @@
   Instant dispatchedAt_;
   ReplicaHead head_;
   bool headReceived_ = false;
-  bool noAnswerRecorded_ = false;  ///< Counted as a failure: no answer within `mute`.
+  /// Counted as a failure: no answer within `noResponseFailureTime`.
+  bool noAnswerRecorded_ = false;
   std::vector<http::Header> replicaHeaders_;
   std::string body_;
 
--- a/src/edge/exchange_replica.cpp
+++ b/src/edge/exchange_replica.cpp
@@ -146,7 +146,7 @@
 
 void Exchange::onReplicaRefusal() {
   const bool full = head_.status == kUnavailable;
-  replica_->fullUntil = context_.clock() + context_.knobs.fullTime;
+  replica_->fullUntil = context_.clock() + context_.knobs.refusedReplicaAvoidTime;
   context_.log.routine("replica_refused", {{"request", request_.requestId},
                                            {"replica", replica_->entry.id},
                                            {"status", std::uint64_t{head_.status}}});
@@ -327,7 +327,7 @@
 }
 
 void Exchange::scheduleRetryOnSameReplica() {
-  context_.timers.runAfter(context_.knobs.fullTime,
+  context_.timers.runAfter(context_.knobs.refusedReplicaAvoidTime,
                            [weak = weak_from_this(), number = dispatchNumber_] {
                              const auto self = weak.lock();
                              if (self && !self->ended_ && self->dispatchNumber_ == number) {
--- a/src/edge/exchange_silence.cpp
+++ b/src/edge/exchange_silence.cpp
@@ -11,7 +11,7 @@
 namespace gorsetrail::edge {
 
 void Exchange::startSilenceTimer() {
-  context_.timers.runAfter(context_.knobs.silence,
+  context_.timers.runAfter(context_.knobs.reachabilityCheckDelay,
                            [weak = weak_from_this(), number = dispatchNumber_] {
                              const auto self = weak.lock();
                              if (self && self->dispatchNumber_ == number && self->call_) {
@@ -29,12 +29,12 @@
     return;
   }
   if (!headReceived_ && !noAnswerRecorded_ &&
-      context_.clock() - dispatchedAt_ >= context_.knobs.mute) {
+      context_.clock() - dispatchedAt_ >= context_.knobs.noResponseFailureTime) {
     noAnswerRecorded_ = true;
     recordOutcome(true);
   }
   const Instant heardAt = std::max(replica_->heardAt, dispatchedAt_);
-  if (context_.clock() - heardAt < context_.knobs.silence) {
+  if (context_.clock() - heardAt < context_.knobs.reachabilityCheckDelay) {
     startSilenceTimer();
     return;
   }
--- a/tests/edge/exchange_life_test.cpp
+++ b/tests/edge/exchange_life_test.cpp
@@ -28,7 +28,9 @@
   }
   void wait(Duration time = milliseconds(50)) { world.timers.advance(time); }
   /// Waits until the exchange checks whether its replica has restarted.
-  void waitForSilenceTimeout() { wait(world.context.knobs.silence + milliseconds(10)); }
+  void waitForSilenceTimeout() {
+    wait(world.context.knobs.reachabilityCheckDelay + milliseconds(10));
+  }
   std::string askedReplica() { return world.call().headerOf("expect"); }
   /// Registers a restart of the replica's process. \return the new incarnation.
   routing::ReplicaPtr restartReplica(const std::string& id, Instant beganAt,
--- a/tests/edge/exchange_refusals_test.cpp
+++ b/tests/edge/exchange_refusals_test.cpp
@@ -57,7 +57,7 @@
   ledger.reply.reason = ledger::UndecidedReason::NoAnswer;
   EdgeContext context = world.contextWith(ledger);
   const auto client = startIn(context, ExchangeWorld::turn("again"));
-  world.timers.advance(context.knobs.reservationPause + milliseconds(20));
+  world.timers.advance(context.knobs.reservationRetryDelay + milliseconds(20));
   LONGS_EQUAL(502, client->status);
   const std::string written = lines();
   const std::size_t first = written.find("event=reservation_refused");
--- a/tests/edge/exchange_stream_test.cpp
+++ b/tests/edge/exchange_stream_test.cpp
@@ -196,7 +196,7 @@
   EdgeContext context = contextWith(ledger);
   const auto client = startIn(context);
   LONGS_EQUAL(1, world.dispatches());
-  CHECK(ledger.reservationTimeout <= context.knobs.unlikelyReservationLimit);
+  CHECK(ledger.reservationTimeout <= context.knobs.failingReservationTimeout);
   client->observer.onGone();
   client->observer = {};
 }
@@ -218,7 +218,7 @@
   LONGS_EQUAL(503, client->status);
   CHECK(!client->retryAfter.empty());
   LONGS_EQUAL(0, world.dispatches());
-  CHECK(ledger.reservationTimeout <= context.knobs.doubtfulReservationLimit);
+  CHECK(ledger.reservationTimeout <= context.knobs.uncertainReservationTimeout);
 }
 
 TEST(ExchangeStream, retriesAReservationThatFailsAfterTheDispatch) {
@@ -232,7 +232,7 @@
   world.beginEvents();
   world.call().body(kFirst);
   STRCMP_EQUAL("", client->body.c_str());
-  world.timers.advance(context.knobs.reservationPause + milliseconds(10));
+  world.timers.advance(context.knobs.reservationRetryDelay + milliseconds(10));
   LONGS_EQUAL(2, ledger.reservations);
   STRCMP_EQUAL(kFirst.c_str(), client->body.c_str());
   world.call().done();
@@ -311,12 +311,12 @@
   world.call().fail(http::FailureStage::NotSent);
   LONGS_EQUAL(2, world.dispatches());
   world.answerReachabilityCheck(true);
-  world.timers.advance(world.context.knobs.fullTime);
+  world.timers.advance(world.context.knobs.refusedReplicaAvoidTime);
   LONGS_EQUAL(3, world.dispatches());
   STRCMP_EQUAL(replica.c_str(), world.call().headerOf("expect").c_str());
   world.call().fail(http::FailureStage::NotSent);
   world.answerReachabilityCheck(false, false);
-  world.timers.advance(world.context.knobs.fullTime);
+  world.timers.advance(world.context.knobs.refusedReplicaAvoidTime);
   LONGS_EQUAL(4, world.dispatches());
   STRCMP_EQUAL(replica.c_str(), world.call().headerOf("expect").c_str());
   world.beginEvents();
@@ -333,7 +333,7 @@
     CHECK(world.dispatches() <= 1 + world.context.knobs.maximumRefusedTries);
     world.call().fail(http::FailureStage::NotSent);
     world.answerReachabilityCheck(true);
-    world.timers.advance(world.context.knobs.fullTime);
+    world.timers.advance(world.context.knobs.refusedReplicaAvoidTime);
   }
   CHECK_FALSE(client->whole);
 }
@@ -354,7 +354,7 @@
   const auto [client, replica] = breakStream();  // Its route allows one replica.
   refuseAsBusy();
   LONGS_EQUAL(2, world.dispatches());
-  world.timers.advance(world.context.knobs.fullTime);
+  world.timers.advance(world.context.knobs.refusedReplicaAvoidTime);
   LONGS_EQUAL(3, world.dispatches());
   STRCMP_EQUAL(replica.c_str(), world.call().headerOf("expect").c_str());
   STRCMP_EQUAL("1", world.call().headerOf("after").c_str());
@@ -371,7 +371,7 @@
     STRCMP_EQUAL(replica.c_str(), world.call().headerOf("expect").c_str());
     CHECK(world.dispatches() <= 1 + world.context.knobs.maximumRefusedTries);
     refuseAsBusy();
-    world.timers.advance(world.context.knobs.fullTime);
+    world.timers.advance(world.context.knobs.refusedReplicaAvoidTime);
   }
   CHECK_FALSE(client->whole);
 }
--- a/tests/edge/exchange_test.cpp
+++ b/tests/edge/exchange_test.cpp
@@ -111,8 +111,8 @@
 
 // Guards against a refusal by a capacity that a newer configuration may have raised.
 TEST(Exchange, skipsTheSizeCheckWithAStaleConfiguration) {
-  world.context.freshness.configurationHeardAt =
-      world.timers.now - world.context.knobs.configurationTrust - milliseconds(1);
+  world.context.freshness.configurationReadAt =
+      world.timers.now - world.context.knobs.maximumConfigurationAge - milliseconds(1);
   CallRequest call = ExchangeWorld::turn("again");
   call.promptTokens = 6000;
   world.start(call);
--- a/tests/lab_platform/whole_node.h
+++ b/tests/lab_platform/whole_node.h
@@ -62,11 +62,11 @@
     }
     daemon_ = std::make_unique<edge::EdgeDaemon>(
         context, settings_,
-        edge::EdgeParts{heads_, documents_, store_, *replicaClient_, *peerClient_,
-                        [this](std::string_view bytes) {
-                          lines += bytes;
-                          return bytes.size();
-                        }},
+        edge::EdgeDependencies{heads_, documents_, store_, *replicaClient_, *peerClient_,
+                               [this](std::string_view bytes) {
+                                 lines += bytes;
+                                 return bytes.size();
+                               }},
         1);
     const Result<Success> result = daemon_->start();
     started = succeeded(result);
