--- a/src/edge/call_request.h
+++ b/src/edge/call_request.h
@@ -27,8 +27,8 @@
   /// A header that must be unique occurs more than once, so that two parsers could read the request
   /// differently.
   bool hasConflictingHeaders = false;
-  std::string sessionId;     ///< Identifies a sequence of turns; empty outside programs.
-  std::string previousTurn;  ///< Request ID of the preceding turn; empty for the first turn.
+  std::string sessionId;       ///< Identifies a sequence of turns; empty outside programs.
+  std::string previousTurnId;  ///< Request ID of the preceding turn; empty for the first turn.
   /// The client resumes a stream after this event; empty: from the start.
   std::string lastEventId;
   std::optional<Duration> deadline;  ///< How long the client waits, from the request's arrival.
--- a/src/edge/edge_daemon.cpp
+++ b/src/edge/edge_daemon.cpp
@@ -103,7 +103,7 @@
           {relayAddressOf(settings_), settings_.zone, capacityOf(settings_)},
           [this] { return ownRecord(); },
           [this](const std::string& address) {
-            log_.important("topic_reader", {{"zone", settings_.zone}, {"address", address}});
+            log_.logImportant("topic_reader", {{"zone", settings_.zone}, {"address", address}});
             // All three are retried together: a node with a configuration but without members would
             // refuse turns, because it could not find the nodes that hold their budgets.
             memberFollower_->retryNow();
@@ -160,9 +160,9 @@
                                     const ledger::BudgetLease& lease) {
     const bool isHeld = lease.state == ledger::BudgetLeaseState::Held;
     const bool isPrimary = lease.slot == ledger::BudgetLeaseSlot::Primary;
-    log_.important("budget_lease", {{"partition", logstore::textOf(partition)},
-                                    {"state", isHeld ? "held" : "dropped"},
-                                    {"slot", isPrimary ? "primary" : "secondary"}});
+    log_.logImportant("budget_lease", {{"partition", logstore::textOf(partition)},
+                                       {"state", isHeld ? "held" : "dropped"},
+                                       {"slot", isPrimary ? "primary" : "secondary"}});
   };
   return knobs;
 }
@@ -178,7 +178,7 @@
     knobs.usesSecondPartitions = false;
   }
   knobs.onSuspicionChanged = [this](const std::string& address, bool isUnresponsive) {
-    log_.important(isUnresponsive ? "node_silent" : "node_answers", {{"address", address}});
+    log_.logImportant(isUnresponsive ? "node_silent" : "node_answers", {{"address", address}});
   };
   return knobs;
 }
@@ -192,8 +192,8 @@
   sources.memberCount = [this] { return membersListed_ ? members_.size() : 0; };
   sources.tenants = [this] { return routes_.inForce() ? routes_.inForce()->tenants : nullptr; };
   sources.onCoordinatorChanged = [this](std::uint32_t partition, const std::string& address) {
-    log_.important("quota_coordinator",
-                   {{"partition", std::uint64_t{partition}}, {"address", address}});
+    log_.logImportant("quota_coordinator",
+                      {{"partition", std::uint64_t{partition}}, {"address", address}});
   };
   return sources;
 }
@@ -236,10 +236,10 @@
     return listening;
   }
   startedAt_ = clock_();
-  log_.important("started", {{"node", settings_.nodeName},
-                             {"zone", settings_.zone},
-                             {"clients", settings_.listen.clients},
-                             {"store", settings_.store.address}});
+  log_.logImportant("started", {{"node", settings_.nodeName},
+                                {"zone", settings_.zone},
+                                {"clients", settings_.listen.clients},
+                                {"store", settings_.store.address}});
   if (settings_.uses(Mechanism::TopicGateways)) {
     topicReaders_.start();
   }
@@ -268,7 +268,7 @@
   options.onRequest = std::move(onRequest);
   options.onFault = [this](http::ProtocolFault fault) {
     const unsigned status = statusOf(fault);
-    log_.important("request_unreadable", {{"status", std::uint64_t{status}}});
+    log_.logImportant("request_unreadable", {{"status", std::uint64_t{status}}});
     return http::WholeResponse{status, {}, {}};
   };
   auto made = http::makeHttpServer(ioContext_, std::move(options));
@@ -356,7 +356,7 @@
 std::string EdgeDaemon::ownRelayAddress() const { return relayAddressOf(settings_); }
 
 void EdgeDaemon::onStorePathChanged(logstore::StoreWay way) {
-  log_.important("store_way", {{"way", way == logstore::StoreWay::Direct ? "direct" : "relay"}});
+  log_.logImportant("store_way", {{"way", way == logstore::StoreWay::Direct ? "direct" : "relay"}});
 }
 
 void EdgeDaemon::onClientRequest(http::ServerRequest request, http::ResponseWriterPtr writer) {
@@ -436,13 +436,13 @@
   settings.listen = settings_.listen;
   settings.disabledMechanisms = settings_.disabledMechanisms;
   settings_ = std::move(settings);
-  log_.important("reloaded", {{"node", settings_.nodeName}, {"store", settings_.store.address}});
+  log_.logImportant("reloaded", {{"node", settings_.nodeName}, {"store", settings_.store.address}});
   onZonesChanged();
 }
 
 void EdgeDaemon::reportInvalidReload(const std::vector<Error>& errors) {
   for (const Error& error : errors) {
-    log_.important("reload_refused", {{"error", error.toText()}});
+    log_.logImportant("reload_refused", {{"error", error.toText()}});
   }
 }
 
@@ -453,7 +453,7 @@
   stopping_ = true;
   stopStartedAt_ = earliestStopSignalTime();
   onStopped_ = std::move(onStopped);
-  log_.important("stop_begun", {{"open_requests", clientServer_->counters().responsesOpen}});
+  log_.logImportant("stop_begun", {{"open_requests", clientServer_->counters().responsesOpen}});
   announce(true);
   quotaExchange_.endCoordination();
   clientServer_->beginDrain(http::IdleConnections::Keep);
@@ -474,7 +474,7 @@
   const std::uint64_t open = clientServer_->counters().responsesOpen;
   const bool isLimitReached = since >= settings_.bounds.stopLimit - kStopMargin;
   if ((since >= kMinimumStopTime && open == 0) || isLimitReached) {
-    log_.important("stopped", {{"open_requests", open}});
+    log_.logImportant("stopped", {{"open_requests", open}});
     log_.flush();
     onStopped_();
     return;
--- a/src/edge/edge_daemon_figures.cpp
+++ b/src/edge/edge_daemon_figures.cpp
@@ -38,10 +38,10 @@
   values.dispatches = context_.counters.dispatches;
   values.retries = context_.counters.retries;
   values.resumes = context_.counters.resumes;
-  values.turnsWaitingForRecord = context_.retention.held();
-  values.turnsBegunInOutage = context_.retention.counters().begunInOutage;
+  values.turnsWaitingForRecord = context_.retention.heldStreamEnds();
+  values.turnsBegunInOutage = context_.retention.counters().startedDuringOutage;
   values.turnsStoredLate = context_.retention.counters().storedLate;
-  values.turnsNotStored = context_.retention.counters().givenUp;
+  values.turnsNotStored = context_.retention.counters().notStored;
   const http::HttpServerCounters callers = clientServer_->counters();
   values.requestsOpen = callers.responsesOpen;
   values.bytesUntaken = callers.bytesUntaken;
@@ -55,7 +55,7 @@
   values.configurationAgeMilliseconds =
       ageMilliseconds(now, context_.freshness.configurationReadAt);
   values.replicasAgeMilliseconds = ageMilliseconds(now, context_.freshness.replicasReadAt);
-  values.logLinesDropped = log_.leftOut();
+  values.logLinesDropped = log_.droppedLines();
   values.replicaRecordsUnreadable = unreadableRecords_.count(RecordKind::Replica);
   values.memberRecordsUnreadable = unreadableRecords_.count(RecordKind::Member);
   values.configurationsUnreadable = unreadableRecords_.count(RecordKind::Configuration);
--- a/src/edge/edge_daemon_followers.cpp
+++ b/src/edge/edge_daemon_followers.cpp
@@ -66,8 +66,8 @@
       "replica_unreadable", "member_unreadable", "configuration_unreadable",
       "operator_record_unreadable"};
   if (unreadableRecords_.onUnreadable(kind, key, clock_())) {
-    log_.important(kEvents[static_cast<std::size_t>(kind)],
-                   {{"key", isName(key) ? key : "(no name)"}, {"error", error.toText()}});
+    log_.logImportant(kEvents[static_cast<std::size_t>(kind)],
+                      {{"key", isName(key) ? key : "(no name)"}, {"error", error.toText()}});
   }
 }
 
@@ -77,7 +77,7 @@
       onEvacuationEnded(zone, "record");
     }
   } else if (evacuations_.onEvacuated(zone, clock_())) {
-    log_.important("zone_evacuated", {{"zone", zone}});
+    log_.logImportant("zone_evacuated", {{"zone", zone}});
   }
 }
 
@@ -97,7 +97,7 @@
 
 void EdgeDaemon::onEvacuationEnded(const std::string& zone, std::string_view source) {
   coldReplicas_.onZoneReturned(zone, clock_());
-  log_.important("evacuation_taken_back", {{"zone", zone}, {"by", source}});
+  log_.logImportant("evacuation_taken_back", {{"zone", zone}, {"by", source}});
 }
 
 void EdgeDaemon::onConfigurationRecord(const std::string& value) {
@@ -119,8 +119,8 @@
     refusedConfiguration_ = value;
     // The previous configuration stays in force: applying only a part of this one could route
     // requests to forbidden regions.
-    log_.important("configuration_refused", {{"version", valueOf(read).version.value()},
-                                             {"error", errorOf(regions).toText()}});
+    log_.logImportant("configuration_refused", {{"version", valueOf(read).version.value()},
+                                                {"error", errorOf(regions).toText()}});
     return;
   }
   valueOf(read).regions =
@@ -131,8 +131,8 @@
   const bool newer = routes_.apply(std::move(configuration));
   updateColdReplicas();  // The configuration may lower the rate of replicas that are already
                          // listed.
-  log_.important(newer ? "configuration_in_force" : "configuration_not_newer",
-                 {{"version", version}, {"routes", routes}});
+  log_.logImportant(newer ? "configuration_in_force" : "configuration_not_newer",
+                    {{"version", version}, {"routes", routes}});
 }
 
 void EdgeDaemon::onZonesChanged() {
@@ -156,7 +156,7 @@
       onRegistrationLost(missing, "listing");
     }
     replicasListed_ = true;
-    log_.important("replicas_listed", {{"count", std::uint64_t{keys.size()}}});
+    log_.logImportant("replicas_listed", {{"count", std::uint64_t{keys.size()}}});
   };
   observer.onFresh = [this](Instant askedAt) {
     context_.freshness.replicasReadAt = askedAt;
@@ -185,8 +185,8 @@
                                 : replicas_.remove(id);
   if (change != routing::ReplicaChange::None) {
     const bool hasLapsed = change == routing::ReplicaChange::Lapsed;
-    log_.important(hasLapsed ? "replica_doubted" : "replica_gone",
-                   {{"replica", id}, {"by", source}});
+    log_.logImportant(hasLapsed ? "replica_doubted" : "replica_gone",
+                      {{"replica", id}, {"by", source}});
   }
 }
 
@@ -218,7 +218,7 @@
   const bool isNew = replicasListed_ && replica != before;
   coldReplicas_.onRegistration(*replica, isNew, clock_());
   if (replica->startUntold && !wasStartUntold) {
-    log_.important("replica_start_untold", {{"replica", id}, {"address", entry.address}});
+    log_.logImportant("replica_start_untold", {{"replica", id}, {"address", entry.address}});
   }
   if (change != routing::ReplicaChange::None && replicasListed_) {
     logReplicaChange(entry);
@@ -233,9 +233,9 @@
                                                   {"address", entry.address},
                                                   {"state", entry.draining ? "draining" : "ready"}};
   if (entry.draining) {
-    log_.important("replica_changed", fields);
+    log_.logImportant("replica_changed", fields);
   } else {
-    log_.routine("replica_changed", fields);
+    log_.logRoutine("replica_changed", fields);
   }
 }
 
@@ -245,10 +245,10 @@
   }
   // The record is repeated with every heartbeat: only counts that are powers of two are logged.
   if (std::has_single_bit(++implausibleStarts_)) {
-    log_.important("replica_start_implausible", {{"replica", entry.id},
-                                                 {"started_unix_ms", entry.startedAt->value()},
-                                                 {"address", entry.address},
-                                                 {"count", implausibleStarts_}});
+    log_.logImportant("replica_start_implausible", {{"replica", entry.id},
+                                                    {"started_unix_ms", entry.startedAt->value()},
+                                                    {"address", entry.address},
+                                                    {"count", implausibleStarts_}});
   }
   entry.startedAt.reset();
 }
@@ -267,12 +267,12 @@
   if (before) {
     parts_.client.closeIdleConnections(before->entry.address);
   }
-  log_.important("replica_restarted",
-                 {{"replica", id},
-                  {"started_unix_ms", replica.entry.startedAt->value()},
-                  {"address", replica.entry.address},
-                  {"zone", replica.entry.zone},
-                  {"in_flight", std::uint64_t{before ? before->inFlight : 0}}});
+  log_.logImportant("replica_restarted",
+                    {{"replica", id},
+                     {"started_unix_ms", replica.entry.startedAt->value()},
+                     {"address", replica.entry.address},
+                     {"zone", replica.entry.zone},
+                     {"in_flight", std::uint64_t{before ? before->inFlight : 0}}});
 }
 
 void EdgeDaemon::onOutdatedRegistration(const routing::ReplicaEntry& entry) {
@@ -280,10 +280,10 @@
   // Two processes with the same id cause this with every heartbeat: only counts that are powers of
   // two are logged.
   if (std::has_single_bit(count)) {
-    log_.important("replica_entry_outdated", {{"replica", entry.id},
-                                              {"started_unix_ms", entry.startedAt->value()},
-                                              {"address", entry.address},
-                                              {"count", count}});
+    log_.logImportant("replica_entry_outdated", {{"replica", entry.id},
+                                                 {"started_unix_ms", entry.startedAt->value()},
+                                                 {"address", entry.address},
+                                                 {"count", count}});
   }
 }
 
@@ -294,7 +294,7 @@
   // previous address is unknown: requests sent there could run at another replica. Requests in
   // flight continue.
   if (replicas_.remove(id) != routing::ReplicaChange::None) {
-    log_.important("replica_gone", {{"replica", id}, {"by", "unreadable"}});
+    log_.logImportant("replica_gone", {{"replica", id}, {"by", "unreadable"}});
   }
 }
 
@@ -314,8 +314,8 @@
   peerMonitor_.watch(key);
   // A starting node sees all members at once; `onListed` logs them in one line.
   if (members_.onRecord(key, valueOf(record), clock_()) && membersListed_) {
-    log_.routine("member_changed", {{"node", valueOf(record).nodeName},
-                                    {"state", valueOf(record).leaving ? "leaving" : "serving"}});
+    log_.logRoutine("member_changed", {{"node", valueOf(record).nodeName},
+                                       {"state", valueOf(record).leaving ? "leaving" : "serving"}});
   }
 }
 
@@ -329,7 +329,7 @@
   observer.onListed = [this](const std::vector<std::string>& keys) {
     membersListed_ = true;
     unreadableRecords_.onListed(RecordKind::Member, keys);
-    log_.important("members_listed", {{"count", std::uint64_t{keys.size()}}});
+    log_.logImportant("members_listed", {{"count", std::uint64_t{keys.size()}}});
     if (!stopping_) {
       ledger_.maintainLeases();  // Immediately, because the store may become unavailable before the
                                  // next run of `leaseLoop`.
@@ -354,7 +354,7 @@
   }
   unavailableTopics_.erase(lost);
   storeRecoveredAt_ = clock_();
-  log_.important("store_regained", {{"topic", topic}, {"address", settings_.store.address}});
+  log_.logImportant("store_regained", {{"topic", topic}, {"address", settings_.store.address}});
 }
 
 // A starting node gets no answer until its zone's reader has listed the topics. This does not count
@@ -371,7 +371,7 @@
     return;
   }
   const Instant now = clock_();
-  log_.important(
+  log_.logImportant(
       "store_lost",
       {{"topic", topic},
        {"fault", logstore::storeFaultName(error.fault)},
--- a/src/edge/edge_daemon_peers.cpp
+++ b/src/edge/edge_daemon_peers.cpp
@@ -55,8 +55,8 @@
       state == membership::MemberState::Suspected || state == membership::MemberState::Dead;
   // Logged as routine, because in a large starting fleet every node learns of many suspects per
   // second.
-  log_.routine(isSuspectedOrDead ? "peer_silent" : "peer_answers",
-               {{"node", ip}, {"state", membership::memberStateName(state)}});
+  log_.logRoutine(isSuspectedOrDead ? "peer_silent" : "peer_answers",
+                  {{"node", ip}, {"state", membership::memberStateName(state)}});
 }
 
 std::string EdgeDaemon::ownLoadAddress() const {
@@ -187,7 +187,7 @@
   }
   updateColdReplicas();
   for (const std::string& dropped : replicas_.removeLapsed(clock_())) {
-    log_.important("replica_gone", {{"replica", dropped}, {"by", "doubt"}});
+    log_.logImportant("replica_gone", {{"replica", dropped}, {"by", "doubt"}});
   }
   timers_->runAfter(kLoadPeriod, [this] { loadLoop(); });
 }
@@ -214,11 +214,11 @@
     if (++lines > kMaximumColdLines) {
       continue;  // The gauge still counts it.
     }
-    log_.important(change.isCold ? "replica_cold" : "replica_warm",
-                   {{"replica", change.id},
-                    {"zone", change.zone},
-                    {"for_ms", static_cast<std::uint64_t>(toMilliseconds(change.remaining))},
-                    {"feeder", std::uint64_t{change.isDesignatedSender ? 1U : 0U}}});
+    log_.logImportant(change.isCold ? "replica_cold" : "replica_warm",
+                      {{"replica", change.id},
+                       {"zone", change.zone},
+                       {"for_ms", static_cast<std::uint64_t>(toMilliseconds(change.remaining))},
+                       {"feeder", std::uint64_t{change.isDesignatedSender ? 1U : 0U}}});
   }
   logColdStateAvailability();
 }
@@ -230,10 +230,10 @@
     return;
   }
   loggedColdKnown_ = isKnown;
-  log_.important(isKnown ? "cold_states_known" : "cold_states_unknown",
-                 {{"members", std::uint64_t{members_.size()}},
-                  {"client_takers", std::uint64_t{clientNodeAddresses_.size()}},
-                  {"replicas", std::uint64_t{coldReplicas_.limitedReplicas()}}});
+  log_.logImportant(isKnown ? "cold_states_known" : "cold_states_unknown",
+                    {{"members", std::uint64_t{members_.size()}},
+                     {"client_takers", std::uint64_t{clientNodeAddresses_.size()}},
+                     {"replicas", std::uint64_t{coldReplicas_.limitedReplicas()}}});
 }
 
 const LoadPeers& EdgeDaemon::loadPeers() {
--- a/src/edge/edge_knobs.cpp
+++ b/src/edge/edge_knobs.cpp
@@ -99,8 +99,8 @@
   // small node.
   constexpr std::uint64_t kShareOfMemory = 32;
   TurnRetentionKnobs knobs;
-  knobs.holdsEnds = settings.uses(Mechanism::TurnRetention);
-  knobs.mostBytes = settings.memoryBytes / kShareOfMemory;
+  knobs.holdStreamEnds = settings.uses(Mechanism::TurnRetention);
+  knobs.maximumRetainedBytes = settings.memoryBytes / kShareOfMemory;
   return knobs;
 }
 
--- a/src/edge/event_log.cpp
+++ b/src/edge/event_log.cpp
@@ -28,20 +28,20 @@
   return ++routineLinesInWindow_ <= knobs_.routineLinesPerSecond;
 }
 
-void EventLog::routine(std::string_view event, std::initializer_list<LogField> fields) {
+void EventLog::logRoutine(std::string_view event, std::initializer_list<LogField> fields) {
   if (!admitRoutineLine() || !append(event, fields, knobs_.bufferBytes)) {
     ++droppedLines_;
   }
 }
 
-void EventLog::important(std::string_view event, std::initializer_list<LogField> fields) {
+void EventLog::logImportant(std::string_view event, std::initializer_list<LogField> fields) {
   if (!append(event, fields, knobs_.bufferBytes)) {
     ++droppedLines_;
   }
 }
 
-void EventLog::refusal(std::string_view event, const RefusalKey& key,
-                       std::initializer_list<LogField> fields) {
+void EventLog::logRefusal(std::string_view event, const RefusalKey& key,
+                          std::initializer_list<LogField> fields) {
   if (append(event, fields, knobs_.bufferBytes + knobs_.refusalBytes)) {
     return;
   }
--- a/src/edge/event_log.h
+++ b/src/edge/event_log.h
@@ -28,7 +28,7 @@
   std::size_t refusalBytes = kReservedRefusals * kRefusalBytes;
   /// Most distinct (event, program, reason) keys whose refusals are counted between two flushes.
   std::size_t maximumRefusalCounts = 2048;
-  /// Limit for `routine` lines; other lines are not rate limited.
+  /// Limit for `logRoutine` lines; other lines are not rate limited.
   std::uint32_t routineLinesPerSecond = 60;
 };
 
@@ -48,18 +48,18 @@
   EventLog(Output output, std::function<Instant()> clock, EventLogKnobs knobs);
 
   /// Logs an ordinary event; the line is dropped above the rate limit or when the buffer is full.
-  void routine(std::string_view event, std::initializer_list<LogField> fields);
+  void logRoutine(std::string_view event, std::initializer_list<LogField> fields);
   /// Logs a failure or a state change; the line is dropped only when the buffer is full.
-  void important(std::string_view event, std::initializer_list<LogField> fields);
+  void logImportant(std::string_view event, std::initializer_list<LogField> fields);
   /// Logs a refused request. When the space for refusals is full too, refusals with the same event
   /// and key are counted and logged as one line `refusals_counted`.
-  void refusal(std::string_view event, const RefusalKey& key,
-               std::initializer_list<LogField> fields);
+  void logRefusal(std::string_view event, const RefusalKey& key,
+                  std::initializer_list<LogField> fields);
   /// Writes buffered lines; call it several times a second and before the process exits.
   void flush();
 
   /// \return the number of lines dropped so far.
-  [[nodiscard]] std::uint64_t leftOut() const { return droppedLines_; }
+  [[nodiscard]] std::uint64_t droppedLines() const { return droppedLines_; }
 
  private:
   /// Event, program and reason.
--- a/src/edge/exchange.cpp
+++ b/src/edge/exchange.cpp
@@ -137,7 +137,7 @@
     return;
   }
   turnInput_ = request_.body;
-  if (request_.previousTurn.empty()) {
+  if (request_.previousTurnId.empty()) {
     checkBudget();
     return;
   }
@@ -389,7 +389,7 @@
       {"program", request_.programId},
       {"route", route},
       {"tenant", tenant},
-      {"previous_turn", request_.previousTurn},
+      {"previous_turn", request_.previousTurnId},
       {"outcome", outcome},
       {"reason", reason},
       {"status", std::uint64_t{head_.status}},
@@ -400,11 +400,11 @@
       {"program_left_ms", programLeft},
       {"took_ms", wholeMilliseconds(context_.clock() - arrivedAt_)}};
   if (isRoutine) {
-    context_.log.routine("request_ended", fields);
+    context_.log.logRoutine("request_ended", fields);
   } else if (outcome.starts_with("refused_")) {
-    context_.log.refusal("request_ended", {request_.programId, reason}, fields);
+    context_.log.logRefusal("request_ended", {request_.programId, reason}, fields);
   } else {
-    context_.log.important("request_ended", fields);
+    context_.log.logImportant("request_ended", fields);
   }
   ++dispatchNumber_;
   if (call_) {
--- a/src/edge/exchange_silence.cpp
+++ b/src/edge/exchange_liveness.cpp
@@ -62,10 +62,10 @@
         if (!self || self->ended_ || self->dispatchNumber_ != number || !self->replica_) {
           return;
         }
-        self->context_.log.routine("replica_checked", {{"request", self->request_.requestId},
-                                                       {"replica", self->replica_->entry.id},
-                                                       {"witness", witnessAddress},
-                                                       {"reach", reachabilityName(reach)}});
+        self->context_.log.logRoutine("replica_checked", {{"request", self->request_.requestId},
+                                                          {"replica", self->replica_->entry.id},
+                                                          {"witness", witnessAddress},
+                                                          {"reach", reachabilityName(reach)}});
         callback(*self, reach);
       });
 }
--- a/src/edge/exchange_placement.cpp
+++ b/src/edge/exchange_placement.cpp
@@ -63,7 +63,7 @@
   if (budget > 0 && static_cast<double>(known) > context_.knobs.runawayShare * budget) {
     return routing::WorkStage::Runaway;
   }
-  const bool hasBegun = !request_.previousTurn.empty() || known > request_.maximumTokens;
+  const bool hasBegun = !request_.previousTurnId.empty() || known > request_.maximumTokens;
   return hasBegun ? routing::WorkStage::Continuing : routing::WorkStage::FirstTurn;
 }
 
--- a/src/edge/exchange_refusals.cpp
+++ b/src/edge/exchange_refusals.cpp
@@ -21,15 +21,15 @@
 }  // namespace
 
 void Exchange::onReplicasBusy(const routing::RefusedByAdmission& taken) {
-  context_.log.refusal("placement_refused", {request_.programId, "replicas_busy"},
-                       {{"request", request_.requestId},
-                        {"program", request_.programId},
-                        {"stage", routing::workStageName(stage())},
-                        {"priority", std::uint64_t{checked_.priority}},
-                        {"prompt_tokens", request_.promptTokens},
-                        {"replica", taken.judged->entry.id},
-                        {"load_percent", percentOf(taken.judged->loadPerSlot())},
-                        {"least_load_percent", percentOf(taken.leastLoadPerSlot)}});
+  context_.log.logRefusal("placement_refused", {request_.programId, "replicas_busy"},
+                          {{"request", request_.requestId},
+                           {"program", request_.programId},
+                           {"stage", routing::workStageName(stage())},
+                           {"priority", std::uint64_t{checked_.priority}},
+                           {"prompt_tokens", request_.promptTokens},
+                           {"replica", taken.judged->entry.id},
+                           {"load_percent", percentOf(taken.judged->loadPerSlot())},
+                           {"least_load_percent", percentOf(taken.leastLoadPerSlot)}});
   refuse({kUnavailable, "replicas_busy", context_.knobs.retryAfterOverload});
 }
 
@@ -37,50 +37,50 @@
   const quota::QuotaTrace trace = decision.trace.value_or(quota::QuotaTrace{});
   const std::string answerAge =
       trace.lastReplyAge ? std::to_string(wholeMilliseconds(*trace.lastReplyAge)) : std::string();
-  context_.log.refusal("quota_unknown", {request_.programId, "quota_unknown"},
-                       {{"request", request_.requestId},
-                        {"program", request_.programId},
-                        {"tenant", checked_.tenantName()},
-                        {"partition", std::uint64_t{trace.partition}},
-                        {"coordinator", trace.coordinator},
-                        {"last_answer_by", trace.lastReplyFrom},
-                        {"last_answer_ms", answerAge},
-                        {"last_answer_decided", std::uint64_t{trace.lastReplyDecided}},
-                        {"waited_ms", wholeMilliseconds(trace.waited)}});
+  context_.log.logRefusal("quota_unknown", {request_.programId, "quota_unknown"},
+                          {{"request", request_.requestId},
+                           {"program", request_.programId},
+                           {"tenant", checked_.tenantName()},
+                           {"partition", std::uint64_t{trace.partition}},
+                           {"coordinator", trace.coordinator},
+                           {"last_answer_by", trace.lastReplyFrom},
+                           {"last_answer_ms", answerAge},
+                           {"last_answer_decided", std::uint64_t{trace.lastReplyDecided}},
+                           {"waited_ms", wholeMilliseconds(trace.waited)}});
 }
 
 void Exchange::logHistoryRefused(const ledger::LedgerUnavailable& unavailable) {
   const std::size_t logged = std::min(unavailable.unread.size(), kMaximumLoggedPartitions);
   for (std::size_t index = 0; index < logged; ++index) {
     const ledger::UnreadPartition& unread = unavailable.unread[index];
-    context_.log.refusal("history_refused", {request_.programId, unread.reason},
-                         {{"request", request_.requestId},
-                          {"program", request_.programId},
-                          {"previous_turn", request_.previousTurn},
-                          {"reason", unread.reason},
-                          {"partition", unread.partition},
-                          {"choice", std::uint64_t{unread.choice}},
-                          {"unread_partitions", std::uint64_t{unavailable.unread.size()}},
-                          {"nodes", ledger::textOf(unread.asked)},
-                          {"coordinator_lives", std::uint64_t{unread.coordinatorLives}}});
+    context_.log.logRefusal("history_refused", {request_.programId, unread.reason},
+                            {{"request", request_.requestId},
+                             {"program", request_.programId},
+                             {"previous_turn", request_.previousTurnId},
+                             {"reason", unread.reason},
+                             {"partition", unread.partition},
+                             {"choice", std::uint64_t{unread.choice}},
+                             {"unread_partitions", std::uint64_t{unavailable.unread.size()}},
+                             {"nodes", ledger::textOf(unread.asked)},
+                             {"coordinator_lives", std::uint64_t{unread.coordinatorLives}}});
   }
 }
 
 void Exchange::logReservationRefused(const ledger::ReservationReply& reply) {
-  context_.log.refusal("reservation_refused",
-                       {request_.programId, ledger::undecidedReasonName(reply.reason)},
-                       {{"request", request_.requestId},
-                        {"program", request_.programId},
-                        {"previous_turn", request_.previousTurn},
-                        {"reason", ledger::undecidedReasonName(reply.reason)},
-                        {"partition", reply.partition},
-                        {"replied_by", reply.repliedBy},
-                        {"asked_tokens", request_.maximumTokens},
-                        {"used_tokens", reply.tokensUsed},
-                        {"unseen_tokens", reply.tokensUnseen},
-                        {"unseen_leases", ledger::unrecordedSpendingName(reply.unseenLeases)},
-                        {"budget", request_.tokenBudget.value_or(0)},
-                        {"nodes", ledger::textOf(reply.asked)}});
+  context_.log.logRefusal("reservation_refused",
+                          {request_.programId, ledger::undecidedReasonName(reply.reason)},
+                          {{"request", request_.requestId},
+                           {"program", request_.programId},
+                           {"previous_turn", request_.previousTurnId},
+                           {"reason", ledger::undecidedReasonName(reply.reason)},
+                           {"partition", reply.partition},
+                           {"replied_by", reply.repliedBy},
+                           {"asked_tokens", request_.maximumTokens},
+                           {"used_tokens", reply.tokensUsed},
+                           {"unseen_tokens", reply.tokensUnseen},
+                           {"unseen_leases", ledger::unrecordedSpendingName(reply.unseenLeases)},
+                           {"budget", request_.tokenBudget.value_or(0)},
+                           {"nodes", ledger::textOf(reply.asked)}});
 }
 
 }  // namespace gorsetrail::edge
--- a/src/edge/exchange_replica.cpp
+++ b/src/edge/exchange_replica.cpp
@@ -40,17 +40,17 @@
   parameters.lastEventId = progress_.lastEventId();
   parameters.tenant = checked_.tenantName();
   parameters.connectTimeLimit = context_.knobs.connectTimeLimit;
-  context_.log.routine("dispatch", {{"request", request_.requestId},
-                                    {"program", request_.programId},
-                                    {"route", checked_.route->name},
-                                    {"service", checked_.service},
-                                    {"load", static_cast<std::uint64_t>(replica->load())},
-                                    {"version", checked_.configuration->version.value()},
-                                    {"replica", replica->entry.id},
-                                    {"in_flight", std::uint64_t{replica->inFlight}},
-                                    {"number", dispatchNumber_},
-                                    {"left_ms", wholeMilliseconds(parameters.timeLeft)},
-                                    {"granted_as", grant.empty() ? "usual" : grant}});
+  context_.log.logRoutine("dispatch", {{"request", request_.requestId},
+                                       {"program", request_.programId},
+                                       {"route", checked_.route->name},
+                                       {"service", checked_.service},
+                                       {"load", static_cast<std::uint64_t>(replica->load())},
+                                       {"version", checked_.configuration->version.value()},
+                                       {"replica", replica->entry.id},
+                                       {"in_flight", std::uint64_t{replica->inFlight}},
+                                       {"number", dispatchNumber_},
+                                       {"left_ms", wholeMilliseconds(parameters.timeLeft)},
+                                       {"granted_as", grant.empty() ? "usual" : grant}});
   http::ResponseHandler handler;
   const auto self = shared_from_this();
   const std::uint64_t number = dispatchNumber_;
@@ -147,9 +147,9 @@
 void Exchange::onReplicaRefusal() {
   const bool full = head_.status == kUnavailable;
   replica_->fullUntil = context_.clock() + context_.knobs.refusedReplicaAvoidTime;
-  context_.log.routine("replica_refused", {{"request", request_.requestId},
-                                           {"replica", replica_->entry.id},
-                                           {"status", std::uint64_t{head_.status}}});
+  context_.log.logRoutine("replica_refused", {{"request", request_.requestId},
+                                              {"replica", replica_->entry.id},
+                                              {"status", std::uint64_t{head_.status}}});
   const bool hasEnded = head_.status == kMisdirected;  // A different replica uses the address.
   if (hasEnded) {
     runs_.recordUnreachable(replica_);
@@ -278,9 +278,9 @@
   const Duration heldFor = context_.clock() - streamEndedAt_;
   const bool wasHeld = std::exchange(endHeld_, false);
   if (wasHeld && context_.retention.onHoldEnded(true, heldFor)) {
-    context_.log.important("turn_stored_late", {{"request", request_.requestId},
-                                                {"program", request_.programId},
-                                                {"held_ms", wholeMilliseconds(heldFor)}});
+    context_.log.logImportant("turn_stored_late", {{"request", request_.requestId},
+                                                   {"program", request_.programId},
+                                                   {"held_ms", wholeMilliseconds(heldFor)}});
   }
   writer_->endStream();
   context_.metrics.onEndReleased(context_.clock() - streamEndedAt_);
@@ -396,12 +396,12 @@
   if (!headReceived_) {
     replica_->suspectUntil = context_.clock() + context_.knobs.suspicionTime;
   }
-  context_.log.important("replica_failed",
-                         {{"request", request_.requestId},
-                          {"replica", replica_->entry.id},
-                          {"in_a_row", std::uint64_t{replica_->failures}},
-                          {"after_ms", wholeMilliseconds(context_.clock() - dispatchedAt_)},
-                          {"reason", reason}});
+  context_.log.logImportant("replica_failed",
+                            {{"request", request_.requestId},
+                             {"replica", replica_->entry.id},
+                             {"in_a_row", std::uint64_t{replica_->failures}},
+                             {"after_ms", wholeMilliseconds(context_.clock() - dispatchedAt_)},
+                             {"reason", reason}});
 }
 
 void Exchange::releaseReplica() {
--- a/src/edge/request_check.cpp
+++ b/src/edge/request_check.cpp
@@ -103,7 +103,7 @@
 void nameForLedger(const CallRequest& call, CheckedRequest& request) {
   const std::string scope = request.tenantName();
   request.turnName = tenant::scopedName(scope, call.requestId);
-  request.previousTurnName = tenant::scopedName(scope, call.previousTurn);
+  request.previousTurnName = tenant::scopedName(scope, call.previousTurnId);
   request.programName = tenant::scopedName(scope, call.programId);
 }
 
--- a/src/edge/turn_retention_policy.cpp
+++ b/src/edge/turn_retention_policy.cpp
@@ -14,10 +14,10 @@
   if (storeAnswers) {
     return TurnAdmitted{};
   }
-  if (!knobs_.holdsEnds) {
+  if (!knobs_.holdStreamEnds) {
     return TurnRefused{"store_not_answering", knobs_.fixedRetryAfter};
   }
-  if (retainedBytes_ + bytes > knobs_.mostBytes) {
+  if (retainedBytes_ + bytes > knobs_.maximumRetainedBytes) {
     return refusal("turn_memory_full", timeLeft);
   }
   if (timeLeft < knobs_.runAllowance + knobs_.minimumHold) {
@@ -27,19 +27,20 @@
 }
 
 void TurnRetentionPolicy::onTurnStarted(bool storeAnswers, std::size_t bytes) {
-  counters_.begunInOutage += storeAnswers ? 0 : 1;
+  counters_.startedDuringOutage += storeAnswers ? 0 : 1;
   retainedBytes_ += bytes;
 }
 
 Duration TurnRetentionPolicy::holdLimit(Duration timeLeft) const {
-  const Duration longest = knobs_.holdsEnds ? std::min(knobs_.maximumHold, timeLeft) : timeLeft;
+  const Duration longest =
+      knobs_.holdStreamEnds ? std::min(knobs_.maximumHold, timeLeft) : timeLeft;
   return std::max(Duration::zero(), longest);
 }
 
 bool TurnRetentionPolicy::onHoldEnded(bool stored, Duration heldFor) {
-  --held_;
+  --heldStreamEnds_;
   if (!stored) {
-    ++counters_.givenUp;
+    ++counters_.notStored;
     return true;
   }
   const bool isLate = heldFor > knobs_.lateThreshold;
--- a/src/edge/turn_retention_policy.h
+++ b/src/edge/turn_retention_policy.h
@@ -18,8 +18,8 @@
 /// Settings of `TurnRetentionPolicy`.
 struct TurnRetentionKnobs {
   /// False: turns are refused while the store is unavailable, with `fixedRetryAfter`.
-  bool holdsEnds = true;
-  /// Retry-after of refusals when `holdsEnds` is false.
+  bool holdStreamEnds = true;
+  /// Retry-after of refusals when `holdStreamEnds` is false.
   Duration fixedRetryAfter = milliseconds(800);
   /// Longest time that a stream's end is held. Clients abandon a stream after 2 s without events;
   /// the difference allows for network latency.
@@ -35,7 +35,7 @@
   /// Stream ends held for longer than this are counted and logged.
   Duration lateThreshold = milliseconds(250);
   /// During an outage, turns are refused when the memory of running turns would exceed this.
-  std::size_t mostBytes = std::size_t{4} * 1024 * 1024;
+  std::size_t maximumRetainedBytes = std::size_t{4} * 1024 * 1024;
 };
 
 struct TurnAdmitted {};
@@ -48,9 +48,9 @@
 
 /// Counts of turns affected by an unavailable or slow store.
 struct TurnRetentionCounters {
-  std::uint64_t begunInOutage = 0;  ///< Turns started while the store was unavailable.
-  std::uint64_t storedLate = 0;     ///< Ends released later than `lateThreshold`.
-  std::uint64_t givenUp = 0;        ///< Streams aborted because the record was not stored.
+  std::uint64_t startedDuringOutage = 0;  ///< Turns started while the store was unavailable.
+  std::uint64_t storedLate = 0;           ///< Ends released later than `lateThreshold`.
+  std::uint64_t notStored = 0;            ///< Streams aborted because the record was not stored.
 };
 
 /// Admission policy for the persisted turns of one node, with a limit on the memory that they use
@@ -75,14 +75,14 @@
   void onTurnEnded(std::size_t bytes) { retainedBytes_ -= bytes; }
 
   /// Counts a held stream end; the caller must call `onHoldEnded` once for it.
-  void onHoldStarted() { ++held_; }
+  void onHoldStarted() { ++heldStreamEnds_; }
   /// \param stored whether the turn's record was stored.
   /// \return whether the hold should be logged: the record was not stored, or stored late.
   bool onHoldEnded(bool stored, Duration heldFor);
 
   [[nodiscard]] const TurnRetentionCounters& counters() const { return counters_; }
   /// \return the number of stream ends held now.
-  [[nodiscard]] std::size_t held() const { return held_; }
+  [[nodiscard]] std::size_t heldStreamEnds() const { return heldStreamEnds_; }
   [[nodiscard]] std::size_t retainedBytes() const { return retainedBytes_; }
 
  private:
@@ -90,7 +90,7 @@
 
   TurnRetentionKnobs knobs_;
   TurnRetentionCounters counters_;
-  std::size_t held_ = 0;
+  std::size_t heldStreamEnds_ = 0;
   std::size_t retainedBytes_ = 0;
 };
 
--- a/tests/edge/event_log_test.cpp
+++ b/tests/edge/event_log_test.cpp
@@ -32,7 +32,7 @@
 
 TEST(EventLog, writesEventsWithTheirFields) {
   EventLog log = make();
-  log.important("store_lost", {{"reason", "two words"}, {"count", std::uint64_t{3}}});
+  log.logImportant("store_lost", {{"reason", "two words"}, {"count", std::uint64_t{3}}});
   log.flush();
   STRCMP_CONTAINS("event=store_lost reason=\"two words\" count=3\n", written.c_str());
 }
@@ -41,13 +41,13 @@
   knobs.routineLinesPerSecond = 10;
   EventLog log = make();
   for (int line = 0; line < 100; ++line) {
-    log.routine("dispatch", {});
+    log.logRoutine("dispatch", {});
   }
   log.flush();
   LONGS_EQUAL(11, lines());
   STRCMP_CONTAINS("event=lines_left_out count=90", written.c_str());
   now += seconds(1);
-  log.routine("dispatch", {});
+  log.logRoutine("dispatch", {});
   log.flush();
   LONGS_EQUAL(12, lines());
 }
@@ -56,8 +56,8 @@
   knobs.routineLinesPerSecond = 1;
   EventLog log = make();
   for (int line = 0; line < 50; ++line) {
-    log.routine("dispatch", {});
-    log.important("request_ended", {});
+    log.logRoutine("dispatch", {});
+    log.logImportant("request_ended", {});
   }
   log.flush();
   LONGS_EQUAL(52, lines());
@@ -68,10 +68,10 @@
   knobs.bufferBytes = 2000;
   EventLog log = make();
   for (int line = 0; line < 1000; ++line) {
-    log.important("request_ended", {{"request", "0123456789abcdef"}});
+    log.logImportant("request_ended", {{"request", "0123456789abcdef"}});
     log.flush();
   }
-  CHECK(log.leftOut() > 900);
+  CHECK(log.droppedLines() > 900);
   writableBytes = SIZE_MAX;
   log.flush();
   CHECK(written.size() < 3000);
@@ -112,7 +112,7 @@
       write("reservation_refused", program);
       write("request_ended", program);
       if (number % (kRefusals / kRoutineLines) == 0) {
-        log.routine("dispatch", {{"request", "q"}});
+        log.logRoutine("dispatch", {{"request", "q"}});
       }
       if (number % (kRefusals / kFlushesPerSecond) == 0) {
         now += seconds(1) / kFlushesPerSecond;
@@ -144,16 +144,16 @@
 
 TEST(EventLogBurst, importantLinesOfABurstExceedTheBuffer) {
   burst([this](const char* event, const std::string& program) {
-    log.important(event, {{"program", program}, {"x", kLongValue}});
+    log.logImportant(event, {{"program", program}, {"x", kLongValue}});
   });
-  CHECK(log.leftOut() > kRefusals);
+  CHECK(log.droppedLines() > kRefusals);
 }
 
 TEST(EventLogBurst, everyRefusalOfABurstIsLoggedOrCounted) {
   burst([this](const char* event, const std::string& program) {
-    log.refusal(event, {program, "why"}, {{"program", program}, {"x", kLongValue}});
+    log.logRefusal(event, {program, "why"}, {{"program", program}, {"x", kLongValue}});
   });
-  CHECK(log.leftOut() <= kRoutineLines + 1);  // Only routine lines were dropped.
+  CHECK(log.droppedLines() <= kRoutineLines + 1);  // Only routine lines were dropped.
   for (int program = 0; program < kPrograms; ++program) {
     const std::string name = "p" + std::to_string(program);
     LONGS_EQUAL(kRefusals / kPrograms, reportedRefusals(name, "reservation_refused"));
@@ -163,10 +163,10 @@
 
 TEST(EventLogBurst, refusalsFitWhenOtherLinesHaveFilledTheBuffer) {
   for (int line = 0; line < 2000; ++line) {
-    log.important("replica_changed", {{"x", kLongValue}});
+    log.logImportant("replica_changed", {{"x", kLongValue}});
   }
-  CHECK(log.leftOut() > 0);
-  log.refusal("request_ended", {"p", "why"}, {{"program", "p"}, {"x", kLongValue}});
+  CHECK(log.droppedLines() > 0);
+  log.logRefusal("request_ended", {"p", "why"}, {{"program", "p"}, {"x", kLongValue}});
   for (int flush = 0; flush < kFlushesPerSecond; ++flush) {
     log.flush();
   }
@@ -178,7 +178,7 @@
   const EventLogKnobs knobs{};
   for (std::size_t number = 0; number < 2 * knobs.maximumRefusalCounts; ++number) {
     const std::string program = "p" + std::to_string(number);
-    log.refusal("request_ended", {program, "why"}, {{"program", program}, {"x", kLongValue}});
+    log.logRefusal("request_ended", {program, "why"}, {{"program", program}, {"x", kLongValue}});
   }
-  CHECK(log.leftOut() > 0);
+  CHECK(log.droppedLines() > 0);
 }
--- a/tests/edge/exchange_refusals_test.cpp
+++ b/tests/edge/exchange_refusals_test.cpp
@@ -2,8 +2,8 @@
 #include <memory>
 #include <string>
 
-#include "edge/doubtful_ledger.h"
 #include "edge/exchange_world.h"
+#include "edge/scripted_ledger.h"
 // CppUTest redefines `new`: it comes after the standard headers.
 #include <CppUTest/TestHarness.h>
 
@@ -81,7 +81,7 @@
   ledger.history = ledger::LedgerUnavailable{"no answer", {first, second, second, second}};
   EdgeContext context = world.contextWith(ledger);
   CallRequest turn = ExchangeWorld::turn("kept");
-  turn.previousTurn = "q0";
+  turn.previousTurnId = "q0";
   LONGS_EQUAL(503, startIn(context, turn)->status);
   const std::string written = lines();
   STRCMP_CONTAINS(
@@ -112,7 +112,7 @@
   }
   EdgeContext context = world.contextWith(ledger);
   CallRequest turn = ExchangeWorld::turn("again");
-  turn.requestId = turn.programId = turn.previousTurn = "0123456789abcdef";
+  turn.requestId = turn.programId = turn.previousTurnId = "0123456789abcdef";
   startIn(context, turn);
   const std::string written = lines();
   CHECK_TEXT(written.size() <= kRefusalBytes, std::to_string(written.size()).c_str());
--- a/tests/edge/exchange_retention_test.cpp
+++ b/tests/edge/exchange_retention_test.cpp
@@ -53,8 +53,8 @@
   STRCMP_EQUAL(kEvent.c_str(), client->body.c_str());
   CHECK_FALSE(client->whole);
   CHECK_FALSE(client->closed);
-  LONGS_EQUAL(1, world.context.retention.held());
-  LONGS_EQUAL(1, world.context.retention.counters().begunInOutage);
+  LONGS_EQUAL(1, world.context.retention.heldStreamEnds());
+  LONGS_EQUAL(1, world.context.retention.counters().startedDuringOutage);
 }
 
 TEST(ExchangeRetention, releasesTheEndAfterTheStoreRecoversAndTheTurnIsReadable) {
@@ -68,7 +68,7 @@
                      [](const logstore::StoreResult<logstore::AppendReply>&) {});
   wait();
   CHECK_TRUE(client->whole);
-  LONGS_EQUAL(0, world.context.retention.held());
+  LONGS_EQUAL(0, world.context.retention.heldStreamEnds());
   LONGS_EQUAL(0, world.context.retention.retainedBytes());
   LONGS_EQUAL(1, world.context.retention.counters().storedLate);
   world.eventLog.flush();
@@ -91,9 +91,9 @@
   world.timers.advance(milliseconds(1000));
   CHECK_TRUE(client->closed);
   CHECK_FALSE(client->whole);
-  LONGS_EQUAL(0, world.context.retention.held());
+  LONGS_EQUAL(0, world.context.retention.heldStreamEnds());
   LONGS_EQUAL(0, world.context.retention.retainedBytes());
-  LONGS_EQUAL(1, world.context.retention.counters().givenUp);
+  LONGS_EQUAL(1, world.context.retention.counters().notStored);
 }
 
 TEST(ExchangeRetention, completesNoStreamWhileTheStoreIsUnavailable) {
@@ -107,12 +107,12 @@
     const bool endedWell = client->whole && client->status == 200;
     CHECK_FALSE(endedWell);
   }
-  LONGS_EQUAL(0, world.context.retention.held());
+  LONGS_EQUAL(0, world.context.retention.heldStreamEnds());
 }
 
 TEST(ExchangeRetention, refusesFurtherTurnsWithARetryAfterAtTheMemoryLimit) {
   TurnRetentionKnobs knobs;
-  knobs.mostBytes = 20;  // Enough for the inputs of four turns.
+  knobs.maximumRetainedBytes = 20;  // Enough for the inputs of four turns.
   world.context.retention = TurnRetentionPolicy(knobs);
   makeStoreUnavailable();
   for (const char* name : {"q1", "q2", "q3", "q4"}) {
@@ -139,7 +139,7 @@
 
 TEST(ExchangeRetention, refusesBeforeTheDispatchIfTheMechanismIsDisabled) {
   TurnRetentionKnobs knobs;
-  knobs.holdsEnds = false;
+  knobs.holdStreamEnds = false;
   world.context.retention = TurnRetentionPolicy(knobs);
   makeStoreUnavailable();
   const auto client = world.start(turn("q1"));
@@ -165,7 +165,7 @@
   makeStoreUnavailable();
   const auto client = startAndRun("q1");
   client->observer.onGone();
-  LONGS_EQUAL(0, world.context.retention.held());
+  LONGS_EQUAL(0, world.context.retention.heldStreamEnds());
   LONGS_EQUAL(0, world.context.retention.retainedBytes());
   world.timers.advance(seconds(5));
   CHECK_FALSE(client->whole);
--- a/tests/edge/exchange_stream_test.cpp
+++ b/tests/edge/exchange_stream_test.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <vector>
 
-#include "edge/doubtful_ledger.h"
+#include "edge/scripted_ledger.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -58,7 +58,7 @@
   void completeTurn(const std::string& requestId, const std::string& previous = "") {
     CallRequest call = ExchangeWorld::turn("kept");
     call.requestId = requestId;
-    call.previousTurn = previous;
+    call.previousTurnId = previous;
     world.start(call);
     wait();
     world.beginEvents();
@@ -120,7 +120,7 @@
   completeTurn("t2", "t1");
   CallRequest call = ExchangeWorld::turn("kept");
   call.requestId = "t3";
-  call.previousTurn = "t2";
+  call.previousTurnId = "t2";
   call.body = "new";
   world.start(call);
   wait();
@@ -129,7 +129,7 @@
 
 TEST(ExchangeStream, answers404OnlyForATurnThatTheLogDoesNotContain) {
   CallRequest call = ExchangeWorld::turn("kept");
-  call.previousTurn = "never";
+  call.previousTurnId = "never";
   const auto client = world.start(call);
   wait();
   LONGS_EQUAL(404, client->status);
@@ -139,7 +139,7 @@
 TEST(ExchangeStream, answers503ForAnyTurnWhileTheLogCannotBeRead) {
   world.log.fault = FakeFault::Silent;
   CallRequest call = ExchangeWorld::turn("kept");
-  call.previousTurn = "never";
+  call.previousTurnId = "never";
   const auto client = world.start(call);
   world.timers.advance(seconds(4));
   LONGS_EQUAL(503, client->status);
@@ -480,7 +480,7 @@
   const auto refused = world.start(first);
   LONGS_EQUAL(503, refused->status);
   CallRequest later = ExchangeWorld::turn("kept");
-  later.previousTurn = "t1";
+  later.previousTurnId = "t1";
   const std::size_t before = world.dispatches();
   world.start(later);
   wait();
--- a/tests/edge/exchange_tenant_test.cpp
+++ b/tests/edge/exchange_tenant_test.cpp
@@ -93,11 +93,11 @@
   const std::size_t before = world.dispatches();
   CallRequest theft = ExchangeWorld::turn("kept");
   theft.requestId = "t2";
-  theft.previousTurn = "t1";
+  theft.previousTurnId = "t1";
   const auto thief = start(theft, "bob-key");
   CallRequest guess = ExchangeWorld::turn("kept");
   guess.requestId = "t3";
-  guess.previousTurn = "never-was";
+  guess.previousTurnId = "never-was";
   const auto guesser = start(guess, "bob-key");
   world.timers.advance(milliseconds(500));
   LONGS_EQUAL(404, thief->status);
@@ -110,7 +110,7 @@
   answerTurn("t1", "alice-key");
   CallRequest next = ExchangeWorld::turn("kept");
   next.requestId = "t2";
-  next.previousTurn = "t1";
+  next.previousTurnId = "t1";
   start(next, "alice-key");
   world.timers.advance(milliseconds(500));
   STRCMP_EQUAL("inputsecret\ninput", world.call().request.body.c_str());
@@ -169,7 +169,7 @@
   start(ExchangeWorld::turn("kept"), "alice-key");
   CallRequest later = ExchangeWorld::turn("kept");
   later.requestId = "q2";
-  later.previousTurn = "q1";
+  later.previousTurnId = "q1";
   start(later, "alice-key");
   start(ExchangeWorld::request("unsafe"), "alice-key");
   LONGS_EQUAL(3, world.quota.asked.size());
--- a/tests/edge/exchange_test.cpp
+++ b/tests/edge/exchange_test.cpp
@@ -236,7 +236,7 @@
 // its attempts must be placed elsewhere.
 TEST(Exchange, placesAProgramElsewhereWhenItsReplicaIsFull) {
   CallRequest turn = ExchangeWorld::turn("again");
-  turn.previousTurn = "q0";
+  turn.previousTurnId = "q0";
   turn.promptTokens = 4500;
   turn.tokenBudget = 100000;
   const std::vector<routing::ReplicaPtr> replicas = world.replicas.ofService("model");
--- a/tests/edge/turn_retention_policy_test.cpp
+++ b/tests/edge/turn_retention_policy_test.cpp
@@ -17,7 +17,7 @@
 
 TurnRetentionKnobs withoutHolds() {
   TurnRetentionKnobs knobs;
-  knobs.holdsEnds = false;
+  knobs.holdStreamEnds = false;
   return knobs;
 }
 
@@ -135,7 +135,7 @@
 TEST_GROUP(TurnRetentionPolicy) { TurnRetentionPolicy policy; };
 
 TEST(TurnRetentionPolicy, admitsEveryTurnWhileTheStoreIsAvailable) {
-  policy.onTurnStarted(true, TurnRetentionKnobs{}.mostBytes);
+  policy.onTurnStarted(true, TurnRetentionKnobs{}.maximumRetainedBytes);
   CHECK(refusalOf(policy.decide(true, kTurnBytes, milliseconds(1))) == nullptr);
 }
 
@@ -153,7 +153,7 @@
 }
 
 TEST(TurnRetentionPolicy, refusesTurnsAboveTheMemoryLimitInAnOutage) {
-  policy.onTurnStarted(true, TurnRetentionKnobs{}.mostBytes - kTurnBytes);
+  policy.onTurnStarted(true, TurnRetentionKnobs{}.maximumRetainedBytes - kTurnBytes);
   CHECK(refusalOf(policy.decide(false, kTurnBytes, kDeadline)) == nullptr);
   const RetentionDecision decision = policy.decide(false, kTurnBytes + 1, kDeadline);
   const TurnRefused* const refused = refusalOf(decision);
@@ -183,13 +183,13 @@
   policy.onHoldStarted();
   policy.onHoldStarted();
   policy.onHoldStarted();
-  LONGS_EQUAL(3, policy.held());
+  LONGS_EQUAL(3, policy.heldStreamEnds());
   CHECK_FALSE(policy.onHoldEnded(true, milliseconds(4)));
   CHECK_TRUE(policy.onHoldEnded(true, milliseconds(900)));
   CHECK_TRUE(policy.onHoldEnded(false, milliseconds(1900)));
-  LONGS_EQUAL(0, policy.held());
+  LONGS_EQUAL(0, policy.heldStreamEnds());
   LONGS_EQUAL(1, policy.counters().storedLate);
-  LONGS_EQUAL(1, policy.counters().givenUp);
+  LONGS_EQUAL(1, policy.counters().notStored);
 }
 
 TEST(TurnRetentionPolicy, failsNoProgramInAnOutageOfFiveSeconds) {
--- a/tests/platform/heads_test.cpp
+++ b/tests/platform/heads_test.cpp
@@ -48,7 +48,7 @@
   const edge::CallRequest call = adapter.readRequest(turn());
   STRCMP_EQUAL("ficu95.example", call.host.c_str());
   STRCMP_EQUAL("e5b2907c14da6f38", call.requestId.c_str());
-  STRCMP_EQUAL("40c8f1a7b3e9265d", call.previousTurn.c_str());
+  STRCMP_EQUAL("40c8f1a7b3e9265d", call.previousTurnId.c_str());
   LONGS_EQUAL(2304, *call.tokenBudget);
   LONGS_EQUAL(1840, call.promptTokens);
   LONGS_EQUAL(288, call.maximumTokens);
