--- a/src/edge/exchange_placement.cpp
+++ b/src/edge/exchange_placement.cpp
@@ -1,4 +1,4 @@
-// The part of `Exchange` that finds a replica, or tells why there is none.
+// Part of `Exchange`: selects a replica, or refuses when there is none.
 #include <algorithm>
 #include <string>
 
@@ -8,17 +8,18 @@
 namespace gorsetrail::edge {
 
 routing::PlacementQuery Exchange::placementQuery() const {
-  const bool keepsPrompts = checked_.hasEngine && !request_.programId.empty();
+  const bool cachesPrompts = checked_.hasEngine && !request_.programId.empty();
   routing::PlacementQuery query;
   query.replica.service = checked_.service;
-  query.replica.affinityKey = keepsPrompts ? checked_.programName : checked_.turnName;
-  query.replica.promptTokens = keepsPrompts ? request_.promptTokens : 0;
-  query.replica.tried = &tried_;
+  query.replica.affinityKey = cachesPrompts ? checked_.programName : checked_.turnName;
+  query.replica.promptTokens = cachesPrompts ? request_.promptTokens : 0;
+  query.replica.tried = &excludedReplicas_;
   query.subject = placementSubject();
   query.replica.isConnected = [this](const routing::Replica& replica) {
     return context_.client.hasIdleConnection(replica.entry.address);
   };
-  // What has begun anywhere goes on: turning it away would waste the work and promise too much.
+  // A request that may have run is exempt from admission control: refusing it would waste work and
+  // wrongly imply that it was not executed.
   const bool canBeRefused = checked_.hasEngine && isStreaming() && !mayHaveRun_ && !streamBegun_;
   if (canBeRefused) {
     query.admission = routing::AdmissionRequest{stage(), checked_.priority, checked_.turnName};
@@ -39,15 +40,15 @@
   } else if (const auto* const none = std::get_if<routing::NoReplica>(&placement)) {
     onNoReplica(*none);
   } else {
-    onPlacesTaken(std::get<routing::PlacesTaken>(placement));
+    onReplicasBusy(std::get<routing::PlacesTaken>(placement));
   }
 }
 
 void Exchange::onNoReplica(const routing::NoReplica& none) {
   if (streamBegun_) {
-    breakOff("no_replica_left");
+    abortAnswer("no_replica_left");
   } else if (mayHaveRun_) {
-    failUnknown(kBadGateway, "no_replica_left");
+    failWithUnknownState(kBadGateway, "no_replica_left");
   } else if (none.bar) {
     refuse({kUnavailable, std::string(routing::placementBarName(*none.bar)), none.retryAfter});
   } else {
@@ -61,11 +62,11 @@
   if (budget > 0 && static_cast<double>(known) > context_.knobs.runawayShare * budget) {
     return routing::WorkStage::Runaway;
   }
-  const bool begun = !request_.previousTurn.empty() || known > request_.maximumTokens;
-  return begun ? routing::WorkStage::Continuing : routing::WorkStage::FirstTurn;
+  const bool hasBegun = !request_.previousTurn.empty() || known > request_.maximumTokens;
+  return hasBegun ? routing::WorkStage::Continuing : routing::WorkStage::FirstTurn;
 }
 
-std::uint32_t Exchange::urgency() const {
+std::uint32_t Exchange::replicaPriority() const {
   const bool isLate =
       request_.programTimeLeft && *request_.programTimeLeft <= context_.clock() - arrivedAt_;
   return isLate ? tenant::kLeastUrgentPriority
--- a/src/edge/exchange_replica.cpp
+++ b/src/edge/exchange_replica.cpp
@@ -1,4 +1,4 @@
-// The part of `Exchange` at a replica: sending, its answer, its failures, and trying again.
+// Part of `Exchange`: dispatches to a replica, handles its response and failures, and retries.
 #include <algorithm>
 #include <utility>
 
@@ -12,7 +12,7 @@
 constexpr unsigned kMisdirected = 421;
 constexpr unsigned kServerError = 500;
 constexpr unsigned kFirstFailureStatus = 300;
-constexpr double kShareOfNewestAnswer = 0.2;
+constexpr double kLatencySmoothingFactor = 0.2;
 
 }  // namespace
 
@@ -27,19 +27,19 @@
   ++context_.counters.dispatches;
   ++dispatchNumber_;
   dispatchedAt_ = context_.clock();
-  headSeen_ = false;
-  muteNoted_ = false;
+  headReceived_ = false;
+  noAnswerRecorded_ = false;
   head_ = {};
   body_.clear();
   progress_.beginRun();
-  Dispatch how;
-  how.address = replica->entry.address;
-  how.replicaId = replica->entry.id;
-  how.timeLeft = timeLeft();
-  how.priority = urgency();
-  how.lastEventId = progress_.lastEventId();
-  how.tenant = checked_.tenantName();
-  how.connectTimeLimit = context_.knobs.connectTimeLimit;
+  Dispatch parameters;
+  parameters.address = replica->entry.address;
+  parameters.replicaId = replica->entry.id;
+  parameters.timeLeft = timeLeft();
+  parameters.priority = replicaPriority();
+  parameters.lastEventId = progress_.lastEventId();
+  parameters.tenant = checked_.tenantName();
+  parameters.connectTimeLimit = context_.knobs.connectTimeLimit;
   context_.log.routine("dispatch", {{"request", request_.requestId},
                                     {"program", request_.programId},
                                     {"route", checked_.route->name},
@@ -49,7 +49,7 @@
                                     {"replica", replica->entry.id},
                                     {"in_flight", std::uint64_t{replica->inFlight}},
                                     {"number", dispatchNumber_},
-                                    {"left_ms", wholeMilliseconds(how.timeLeft)},
+                                    {"left_ms", wholeMilliseconds(parameters.timeLeft)},
                                     {"granted_as", grant.empty() ? "usual" : grant}});
   http::ResponseHandler handler;
   const auto self = shared_from_this();
@@ -78,15 +78,16 @@
       self->onReplicaFailure(failure);
     }
   };
-  call_ = context_.client.send(context_.wire.makeReplicaRequest(request_, how), std::move(handler));
-  watchSilence();
+  call_ = context_.client.send(context_.wire.makeReplicaRequest(request_, parameters),
+                               std::move(handler));
+  startSilenceTimer();
 }
 
 void Exchange::onHead(unsigned status, const std::vector<http::Header>& headers) {
   if (ended_) {
     return;
   }
-  headSeen_ = true;
+  headReceived_ = true;
   replica_->heardAt = context_.clock();
   head_ = context_.wire.readReplicaHead(status, headers);
   if (!streamBegun_) {
@@ -94,9 +95,10 @@
   }
   if (!head_.notExecuted && status != kMisdirected) {
     mayHaveRun_ = true;
-    const double took = toMilliseconds(context_.clock() - dispatchedAt_);
-    double& usual = replica_->answerMilliseconds;
-    usual = usual <= 0 ? took : usual + kShareOfNewestAnswer * (took - usual);
+    const double answerTime = toMilliseconds(context_.clock() - dispatchedAt_);
+    double& average = replica_->answerMilliseconds;
+    average =
+        average <= 0 ? answerTime : average + kLatencySmoothingFactor * (answerTime - average);
     replica_->failures = 0;
     replica_->suspectUntil = {};
   }
@@ -112,7 +114,7 @@
     body_ += part;
     return;
   }
-  if (progress_.take(part)) {
+  if (progress_.receive(part)) {
     releaseOutput();
   }
 }
@@ -126,14 +128,14 @@
     onReplicaRefusal();
     return;
   }
-  noteOutcome(head_.status >= kServerError);
+  recordOutcome(head_.status >= kServerError);
   const bool wasStream = isStreaming() && head_.eventStream && head_.status == kOk;
   if (!wasStream) {
-    onWholeAnswer();
+    onCompleteResponse();
     return;
   }
-  if (progress_.endsAmidAnEvent()) {
-    onReplicaFailure({http::FailureStage::Broken, "the stream ended amid an event"});
+  if (progress_.hasPartialEvent()) {
+    onReplicaFailure({http::FailureStage::Broken, "stream ended with an incomplete event"});
     return;
   }
   releaseReplica();
@@ -148,89 +150,89 @@
   context_.log.routine("replica_refused", {{"request", request_.requestId},
                                            {"replica", replica_->entry.id},
                                            {"status", std::uint64_t{head_.status}}});
-  const bool hasEnded = head_.status == kMisdirected;  // Another replica has its address.
+  const bool hasEnded = head_.status == kMisdirected;  // A different replica uses the address.
   if (hasEnded) {
-    runs_.noteUnreachable(replica_);
+    runs_.recordUnreachable(replica_);
   }
-  const RecoveryStep step = stepAfter(leaveUnserved(!hasEnded));
+  const RecoveryStep step = nextStep(abandonUnservedDispatch(!hasEnded));
   switch (step) {
-    case RecoveryStep::BreakOff:
-      takeStep(step, "replicas_refused_to_resume");
+    case RecoveryStep::AbortStream:
+      performStep(step, "replicas_refused_to_resume");
       break;
-    case RecoveryStep::FailUnknown:
-      takeStep(step, "replicas_refused_after_a_run");
+    case RecoveryStep::FailWithUnknownState:
+      performStep(step, "replicas_refused_after_a_run");
       break;
     default:
-      takeStep(step, full ? "replicas_full" : "replicas_refused");
+      performStep(step, full ? "replicas_full" : "replicas_refused");
   }
 }
 
-FailedDispatch Exchange::failedDispatch(bool ranThere) const {
+FailedDispatch Exchange::failedDispatch(bool mayHaveRunThere) const {
   FailedDispatch failed;
-  failed.ranThere = ranThere;
+  failed.mayHaveRunThere = mayHaveRunThere;
   failed.mayHaveRun = mayHaveRun_;
   failed.streamBegun = streamBegun_;
-  failed.mayRunAgain = mayRunAgain();
-  failed.mayTryAnother = hasTriesLeft() && mayRunOnAnother();
+  failed.mayRerun = mayRerun();
+  failed.mayTryAnotherReplica = hasAttemptsLeft() && mayRunOnAnotherReplica();
   return failed;
 }
 
-FailedDispatch Exchange::leaveUnserved(bool lives) {
-  tried_.push_back(replica_);
-  ++refusedTries_;
+FailedDispatch Exchange::abandonUnservedDispatch(bool isRunning) {
+  excludedReplicas_.push_back(replica_);
+  ++refusedDispatches_;
   FailedDispatch failed = failedDispatch(false);
-  failed.mayAskAgain = lives && replica_ == resumeAt_ && hasTriesLeft();
+  failed.mayRetrySameReplica = isRunning && replica_ == resumeReplica_ && hasAttemptsLeft();
   releaseReplica();
   return failed;
 }
 
-bool Exchange::hasTriesLeft() const {
-  return refusedTries_ < context_.knobs.maximumRefusedTries && timeLeft() > kAnswerMargin;
+bool Exchange::hasAttemptsLeft() const {
+  return refusedDispatches_ < context_.knobs.maximumRefusedTries && timeLeft() > kAnswerMargin;
 }
 
-void Exchange::takeStep(RecoveryStep step, const std::string& reason) {
+void Exchange::performStep(RecoveryStep step, const std::string& reason) {
   switch (step) {
-    case RecoveryStep::RunAgain:
-      runAgain();
+    case RecoveryStep::Rerun:
+      dispatchAgain();
       break;
-    case RecoveryStep::TryAnother:
+    case RecoveryStep::TryAnotherReplica:
       ++context_.counters.retries;
       dispatch();
       break;
-    case RecoveryStep::AskAgain:
-      askAgainLater();
+    case RecoveryStep::RetrySameReplica:
+      scheduleRetryOnSameReplica();
       break;
     case RecoveryStep::Refuse:
       refuse({kUnavailable, reason, context_.knobs.retryAfterFull});
       break;
-    case RecoveryStep::FailUnknown:
-      failUnknown(kBadGateway, reason);
+    case RecoveryStep::FailWithUnknownState:
+      failWithUnknownState(kBadGateway, reason);
       break;
-    case RecoveryStep::BreakOff:
-      breakOff(reason);
+    case RecoveryStep::AbortStream:
+      abortAnswer(reason);
       break;
   }
 }
 
-void Exchange::onWholeAnswer() {
+void Exchange::onCompleteResponse() {
   const bool failed = head_.status >= kServerError;
   if (failed && checked_.route->kind == routing::RouteKind::Safe) {
-    runs_.noteRun(replica_, dispatchedAt_);
-    tried_.push_back(replica_);
+    runs_.recordRun(replica_, dispatchedAt_);
+    excludedReplicas_.push_back(replica_);
   }
   releaseReplica();
-  if (failed && checked_.route->kind == routing::RouteKind::Safe && mayRunAgain()) {
-    runAgain();
+  if (failed && checked_.route->kind == routing::RouteKind::Safe && mayRerun()) {
+    dispatchAgain();
     return;
   }
   if (streamBegun_) {
-    // A resumed stream was answered with something else than a stream.
-    breakOff("resume_answered_without_stream");
+    // The replica answered a resumed stream with a response that is not a stream.
+    abortAnswer("resume_answered_without_stream");
     return;
   }
-  if (truthfulStatus(head_.status, runKnowledge()) != head_.status) {
-    // The replica did not say that it left the request undone, and its status would promise that.
-    failUnknown(kBadGateway, "replica_status_without_its_promise");
+  if (statusConsistentWith(head_.status, executionState()) != head_.status) {
+    // The status implies "not executed", but the replica did not guarantee it by a header.
+    failWithUnknownState(kBadGateway, "replica_status_without_its_promise");
     return;
   }
   writer_->sendWhole({head_.status, replicaHeaders_, std::move(body_)});
@@ -240,37 +242,37 @@
 
 void Exchange::onStreamEnd() {
   if (!streamBegun_) {
-    // A whole stream without a single event.
+    // The stream is complete but has no events.
     streamBegun_ = true;
     writer_->beginStream(head_.status, replicaHeaders_);
   }
   if (!checked_.route->persisted) {
-    onStored(Success{});
+    onTurnStored(Success{});
     return;
   }
-  streamEnded_ = false;  // The end is on its way; `releaseOutput` must not start it again.
+  streamEnded_ = false;  // So that `releaseOutput` does not handle the end a second time.
   endHeld_ = true;
-  context_.retention.onHeld();
+  context_.retention.onHoldStarted();
   const Duration limit = context_.retention.holdLimit(timeLeft() - kAnswerMargin);
   context_.timers.runAfter(limit, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
-      self->onHoldLimit();
+      self->onHoldTimeout();
     }
   });
   context_.ledger.storeTurn(
-      {checked_.turnName, checked_.previousTurnName, before_, ownInput_ + progress_.recordedData(),
-       checked_.turnZones()},
+      {checked_.turnName, checked_.previousTurnName, history_,
+       turnInput_ + progress_.recordedData(), checked_.turnZones()},
       limit, [self = shared_from_this()](const logstore::StoreResult<Success>& stored) {
-        self->onStored(stored);
+        self->onTurnStored(stored);
       });
 }
 
-void Exchange::onStored(const logstore::StoreResult<Success>& stored) {
+void Exchange::onTurnStored(const logstore::StoreResult<Success>& stored) {
   if (ended_) {
     return;
   }
   if (const auto* const error = std::get_if<logstore::StoreError>(&stored)) {
-    breakOff("turn_not_stored_" + std::string(logstore::storeFaultName(error->fault)));
+    abortAnswer("turn_not_stored_" + std::string(logstore::storeFaultName(error->fault)));
     return;
   }
   const Duration heldFor = context_.clock() - streamEndedAt_;
@@ -286,50 +288,50 @@
   end("answered", {});
 }
 
-void Exchange::onHoldLimit() {
+void Exchange::onHoldTimeout() {
   if (!ended_) {
-    breakOff("turn_not_stored_in_time");
+    abortAnswer("turn_not_stored_in_time");
   }
 }
 
-bool Exchange::mayRunAgain() const {
+bool Exchange::mayRerun() const {
   if (!checked_.route->isIdempotent() || timeLeft() <= kAnswerMargin) {
     return false;
   }
   if (isStreaming() && resumes_ >= context_.knobs.maximumResumes) {
     return false;
   }
-  return resumeAt_ != nullptr || mayRunOnAnother();
+  return resumeReplica_ != nullptr || mayRunOnAnotherReplica();
 }
 
-bool Exchange::mayRunOnAnother() const {
-  return runs_.mayRunOnAnother(checked_.route->maximumAttempts);
+bool Exchange::mayRunOnAnotherReplica() const {
+  return runs_.mayRunOnAnotherReplica(checked_.route->maximumAttempts);
 }
 
-void Exchange::runAgain() {
+void Exchange::dispatchAgain() {
   ++context_.counters.retries;
   if (streamBegun_) {
     ++context_.counters.resumes;
   }
   ++resumes_;
-  const bool staysThere =
-      resumeAt_ && !context_.placement.barOf(*resumeAt_, placementSubject(), context_.clock());
-  if (staysThere) {
-    send(resumeAt_);
-  } else if (mayRunOnAnother()) {
+  const bool resumes = resumeReplica_ && !context_.placement.barOf(
+                                             *resumeReplica_, placementSubject(), context_.clock());
+  if (resumes) {
+    send(resumeReplica_);
+  } else if (mayRunOnAnotherReplica()) {
     dispatch();
   } else {
-    // Its replica may get nothing more, and the route allows no further one.
-    breakOff("attempts_spent");
+    // The previous replica may not be used any more, and the route allows no further one.
+    abortAnswer("attempts_spent");
   }
 }
 
-void Exchange::askAgainLater() {
+void Exchange::scheduleRetryOnSameReplica() {
   context_.timers.runAfter(context_.knobs.fullTime,
                            [weak = weak_from_this(), number = dispatchNumber_] {
                              const auto self = weak.lock();
                              if (self && !self->ended_ && self->dispatchNumber_ == number) {
-                               self->runAgain();
+                               self->dispatchAgain();
                              }
                            });
 }
@@ -339,59 +341,59 @@
     return;
   }
   call_.reset();
-  followLife();
-  const bool sent = failure.stage == http::FailureStage::Broken;
-  mayHaveRun_ = mayHaveRun_ || sent;
-  suspectReplica(failure.reason);
-  if (!sent) {
-    onNotSent();
+  followRestartedReplica();
+  const bool requestWritten = failure.stage == http::FailureStage::Broken;
+  mayHaveRun_ = mayHaveRun_ || requestWritten;
+  recordReplicaFailure(failure.reason);
+  if (!requestWritten) {
+    onRequestNotSent();
     return;
   }
-  runs_.noteRun(replica_, dispatchedAt_);
-  // A stream that was cut goes on where it ran, as long as the replica lives: that is no second
-  // replica, and its memory still holds the prompt. Every other request looks for another one.
+  runs_.recordRun(replica_, dispatchedAt_);
+  // An interrupted stream resumes at the same replica while that is running: it does not count as a
+  // further replica, and its prompt cache is warm. Other requests try a different replica.
   recover(isStreaming());
 }
 
-// Where the request has run, another replica may get it only if that run is over. A full replica
-// resets connections, and on a full link they come too late; in both cases the replica lives.
-void Exchange::onNotSent() {
-  if (!runs_.counts(replica_)) {
-    leaveUnsent(false);
+// If the request may be running at this replica, it may go to another one only after a reachability
+// check: connections also fail when the replica is overloaded or this node's link is saturated.
+void Exchange::onRequestNotSent() {
+  if (!runs_.mayStillBeRunningAt(replica_)) {
+    abandonUnsentDispatch(false);
     return;
   }
-  checkReplica([](Exchange& self, Reach reach) {
-    const bool isGone = reach == Reach::OutOfReach;
-    if (isGone) {
-      self.runs_.noteUnreachable(self.replica_);
+  checkReplicaReachability([](Exchange& self, Reachability reach) {
+    const bool isUnreachable = reach == Reachability::Unreachable;
+    if (isUnreachable) {
+      self.runs_.recordUnreachable(self.replica_);
     }
-    self.leaveUnsent(!isGone);
+    self.abandonUnsentDispatch(!isUnreachable);
   });
 }
 
-void Exchange::leaveUnsent(bool lives) {
-  if (!lives) {
-    resumeAt_ = nullptr;
+void Exchange::abandonUnsentDispatch(bool isRunning) {
+  if (!isRunning) {
+    resumeReplica_ = nullptr;
   }
-  const RecoveryStep step = stepAfter(leaveUnserved(lives));
-  takeStep(step, step == RecoveryStep::Refuse ? "no_connection" : "replica_broke_off");
+  const RecoveryStep step = nextStep(abandonUnservedDispatch(isRunning));
+  performStep(step, step == RecoveryStep::Refuse ? "no_connection" : "replica_broke_off");
 }
 
-void Exchange::recover(bool staysAtReplica) {
-  resumeAt_ = staysAtReplica ? replica_ : nullptr;
-  if (!staysAtReplica) {
-    tried_.push_back(replica_);
+void Exchange::recover(bool resumeOnSameReplica) {
+  resumeReplica_ = resumeOnSameReplica ? replica_ : nullptr;
+  if (!resumeOnSameReplica) {
+    excludedReplicas_.push_back(replica_);
   }
   releaseReplica();
-  takeStep(stepAfter(failedDispatch(true)), "replica_broke_off");
+  performStep(nextStep(failedDispatch(true)), "replica_broke_off");
 }
 
-void Exchange::noteOutcome(bool failed) { replica_->outcomes.note(failed, context_.clock()); }
+void Exchange::recordOutcome(bool failed) { replica_->outcomes.note(failed, context_.clock()); }
 
-void Exchange::suspectReplica(std::string_view reason) {
-  noteOutcome(true);
+void Exchange::recordReplicaFailure(std::string_view reason) {
+  recordOutcome(true);
   ++replica_->failures;
-  if (!headSeen_) {
+  if (!headReceived_) {
     replica_->suspectUntil = context_.clock() + context_.knobs.suspicionTime;
   }
   context_.log.important("replica_failed",
--- a/tests/edge/event_splitter_test.cpp
+++ b/tests/edge/event_splitter_test.cpp
@@ -1,4 +1,4 @@
-// Whole events come out of any cutting of the bytes.
+// Guards against events that depend on how the stream is split into reads.
 #include "edge/event_splitter.h"
 
 #include <CppUTest/TestHarness.h>
@@ -23,11 +23,11 @@
   CHECK_FALSE(splitter.hasPartialEvent());
 }
 
-TEST(EventSplitter, givesTheSameEventsHoweverTheBytesAreCut) {
-  for (std::size_t cut = 1; cut < kStream.size(); ++cut) {
+TEST(EventSplitter, givesTheSameEventsForEverySplitOfTheBytes) {
+  for (std::size_t splitPosition = 1; splitPosition < kStream.size(); ++splitPosition) {
     EventSplitter fresh;
-    auto events = fresh.feed(kStream.substr(0, cut));
-    for (StreamEvent& event : fresh.feed(kStream.substr(cut))) {
+    auto events = fresh.feed(kStream.substr(0, splitPosition));
+    for (StreamEvent& event : fresh.feed(kStream.substr(splitPosition))) {
       events.push_back(std::move(event));
     }
     std::string text;
@@ -39,7 +39,7 @@
   }
 }
 
-TEST(EventSplitter, holdsAPartialEventBackAndDropsItWhenTold) {
+TEST(EventSplitter, buffersAPartialEventUntilItIsDropped) {
   CHECK(splitter.feed("id: 1\ndata: ha").empty());
   CHECK_TRUE(splitter.hasPartialEvent());
   splitter.dropPartialEvent();
--- a/tests/edge/replica_runs_test.cpp
+++ b/tests/edge/replica_runs_test.cpp
@@ -1,4 +1,4 @@
-// How many replicas a request may run on.
+// Guards against a request that runs at more replicas than its route allows.
 #include "edge/replica_runs.h"
 
 #include <CppUTest/TestHarness.h>
@@ -13,55 +13,55 @@
   routing::ReplicaPtr second = std::make_shared<routing::Replica>();
 };
 
-TEST(ReplicaRuns, allowsAsManyReplicasAsTheRoute) {
-  CHECK_TRUE(runs.mayRunOnAnother(1));
-  runs.noteRun(first, now);
-  CHECK_FALSE(runs.mayRunOnAnother(1));
-  CHECK_TRUE(runs.mayRunOnAnother(2));
-  runs.noteRun(second, now);
-  CHECK_FALSE(runs.mayRunOnAnother(2));
+TEST(ReplicaRuns, allowsAsManyReplicasAsTheRouteDoes) {
+  CHECK_TRUE(runs.mayRunOnAnotherReplica(1));
+  runs.recordRun(first, now);
+  CHECK_FALSE(runs.mayRunOnAnotherReplica(1));
+  CHECK_TRUE(runs.mayRunOnAnotherReplica(2));
+  runs.recordRun(second, now);
+  CHECK_FALSE(runs.mayRunOnAnotherReplica(2));
 }
 
-TEST(ReplicaRuns, countsAReplicaOnceHoweverOftenAStreamGoesOnThere) {
-  runs.noteRun(first, now);
-  runs.noteRun(first, now);
-  CHECK_TRUE(runs.mayRunOnAnother(2));
+TEST(ReplicaRuns, countsAReplicaOnceWhenAStreamIsResumedThere) {
+  runs.recordRun(first, now);
+  runs.recordRun(first, now);
+  CHECK_TRUE(runs.mayRunOnAnotherReplica(2));
 }
 
-TEST(ReplicaRuns, doesNotCountWhereTheRunIsOver) {
-  runs.noteRun(first, now);
-  runs.noteUnreachable(first);
-  CHECK_TRUE(runs.mayRunOnAnother(1));
-  runs.noteUnreachable(second);
-  CHECK_TRUE(runs.mayRunOnAnother(1));
+TEST(ReplicaRuns, doesNotCountUnreachableReplicas) {
+  runs.recordRun(first, now);
+  runs.recordUnreachable(first);
+  CHECK_TRUE(runs.mayRunOnAnotherReplica(1));
+  runs.recordUnreachable(second);
+  CHECK_TRUE(runs.mayRunOnAnotherReplica(1));
 }
 
-TEST(ReplicaRuns, countsAReplicaAgainThatTookTheRequestOnceMore) {
-  runs.noteRun(first, now);
-  runs.noteUnreachable(first);
-  runs.noteRun(first, now);
-  CHECK_FALSE(runs.mayRunOnAnother(1));
+TEST(ReplicaRuns, countsAReplicaAgainAfterAFurtherRun) {
+  runs.recordRun(first, now);
+  runs.recordUnreachable(first);
+  runs.recordRun(first, now);
+  CHECK_FALSE(runs.mayRunOnAnotherReplica(1));
 }
 
-TEST(ReplicaRuns, doesNotCountARunThatEndedWithItsReplicasProcess) {
-  runs.noteRun(first, now);
+TEST(ReplicaRuns, doesNotCountARunThatEndedWithTheReplicasProcess) {
+  runs.recordRun(first, now);
   first->lifeEnd = routing::LifeEnd{now + seconds(1), second};
-  CHECK_TRUE(runs.mayRunOnAnother(1));
+  CHECK_TRUE(runs.mayRunOnAnotherReplica(1));
 }
 
-TEST(ReplicaRuns, countsARunThatReachedTheNewProcessBeforeItWasKnown) {
-  runs.noteRun(first, now);
+TEST(ReplicaRuns, countsARunAtANewIncarnationThatWasNotYetKnown) {
+  runs.recordRun(first, now);
   first->lifeEnd = routing::LifeEnd{now - seconds(1), second};
-  CHECK_FALSE(runs.mayRunOnAnother(1));
-  runs.noteUnreachable(first);
-  CHECK_TRUE(runs.mayRunOnAnother(1));
+  CHECK_FALSE(runs.mayRunOnAnotherReplica(1));
+  runs.recordUnreachable(first);
+  CHECK_TRUE(runs.mayRunOnAnotherReplica(1));
 }
 
-TEST(ReplicaRuns, tellsWhereARunStillCounts) {
-  CHECK_FALSE(runs.counts(first));
-  runs.noteRun(first, now);
-  CHECK_TRUE(runs.counts(first));
-  CHECK_FALSE(runs.counts(second));
-  runs.noteUnreachable(first);
-  CHECK_FALSE(runs.counts(first));
+TEST(ReplicaRuns, reportsWhereARunMayStillBeInProgress) {
+  CHECK_FALSE(runs.mayStillBeRunningAt(first));
+  runs.recordRun(first, now);
+  CHECK_TRUE(runs.mayStillBeRunningAt(first));
+  CHECK_FALSE(runs.mayStillBeRunningAt(second));
+  runs.recordUnreachable(first);
+  CHECK_FALSE(runs.mayStillBeRunningAt(first));
 }
