--- a/src/logstore/append_batcher.cpp
+++ b/src/logstore/append_batcher.cpp
@@ -17,21 +17,22 @@
 void AppendBatcher::append(std::string record, Duration window, Duration timeLimit,
                            Callback callback) {
   pending_.push_back({std::move(record), timeLimit, std::move(callback)});
-  const Instant due = clock_() + window;
-  if (dueAt_ && *dueAt_ <= due) {
+  const Instant windowEnd = clock_() + window;
+  if (flushAt_ && *flushAt_ <= windowEnd) {
     return;
   }
-  dueAt_ = due;
-  timers_.runAfter(window, [this, number = ++timerNumber_] { onDue(number); });
+  flushAt_ = windowEnd;
+  timers_.runAfter(window,
+                   [this, generation = ++timerGeneration_] { onWindowElapsed(generation); });
 }
 
-void AppendBatcher::onDue(std::uint64_t number) {
-  if (number != timerNumber_) {
+void AppendBatcher::onWindowElapsed(std::uint64_t generation) {
+  if (generation != timerGeneration_) {
     return;
   }
-  dueAt_.reset();
-  if (underWay_) {
-    dueWhileUnderWay_ = true;
+  flushAt_.reset();
+  if (isAppendInFlight_) {
+    isFlushDeferred_ = true;
   } else {
     flush();
   }
@@ -45,7 +46,7 @@
   };
   auto end = std::find_if_not(pending_.begin(), pending_.end(), fits);
   if (end == pending_.begin() && end != pending_.end()) {
-    ++end;  // One record alone goes whatever its size.
+    ++end;  // A record larger than the limit is sent as a batch of its own.
   }
   std::vector<Pending> batch(std::make_move_iterator(pending_.begin()),
                              std::make_move_iterator(end));
@@ -57,7 +58,7 @@
   if (pending_.empty()) {
     return;
   }
-  underWay_ = true;
+  isAppendInFlight_ = true;
   std::vector<Pending> batch = takeBatch();
   AppendRequest request;
   request.partition = partition_;
@@ -74,7 +75,7 @@
 
 void AppendBatcher::onAppended(const std::vector<Pending>& batch,
                                const StoreResult<AppendReply>& result) {
-  underWay_ = false;
+  isAppendInFlight_ = false;
   const auto* const reply = std::get_if<AppendReply>(&result);
   std::uint64_t offset = reply == nullptr ? 0 : reply->offset;
   for (const Pending& pending : batch) {
@@ -84,9 +85,9 @@
       pending.callback(offset++);
     }
   }
-  // What is left over from a full batch is due as well: its timer has run already.
-  const bool leftOver = !pending_.empty() && !dueAt_;
-  if (!underWay_ && (std::exchange(dueWhileUnderWay_, false) || leftOver)) {
+  // Records left over from a full batch are sent at once, because their timer has already run.
+  const bool hasLeftover = !pending_.empty() && !flushAt_;
+  if (!isAppendInFlight_ && (std::exchange(isFlushDeferred_, false) || hasLeftover)) {
     flush();
   }
 }
--- a/src/logstore/append_batcher.h
+++ b/src/logstore/append_batcher.h
@@ -1,4 +1,4 @@
-/// \file Group commit: records of many callers go to one partition in one append.
+/// \file Group commit: combines records of several callers into one append to a partition.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,25 @@
 
 namespace gorsetrail::logstore {
 
-/// Knobs of `AppendBatcher`.
+/// Settings of `AppendBatcher`.
 struct AppendBatcherKnobs {
   std::size_t maximumBatchBytes = std::size_t{1024} * 1024;
 };
 
-/// Gathers records of one partition for a short window, and for as long as the append before is
-/// under way: calls are priced and limited, and the partition takes its appends in turn. A slow
-/// store so gets fewer and longer appends.
+/// Batches the records of one partition for a short window, and until the previous append has
+/// completed. At most one append is in flight, so a slow store receives fewer and larger appends.
+/// This saves calls, which the store bills and rate-limits.
 class AppendBatcher {
  public:
-  /// Told the offset of the caller's own record.
+  /// Receives the offset of the caller's own record, or the error of the whole append.
   using Callback = std::function<void(StoreResult<std::uint64_t>)>;
 
-  /// \param store, timers outlive this object.
+  /// \param store, timers must outlive this object.
   AppendBatcher(LogStore& store, services::TimerService& timers, ClockFunction clock,
                 PartitionAddress partition, AppendBatcherKnobs knobs);
 
-  /// \param window the record waits at most this long for others.
-  /// \param timeLimit for the append of the batch; the batch takes the longest of its records.
+  /// \param window maximum time to wait for further records while no append is in flight.
+  /// \param timeLimit deadline of the append; a batch uses the longest limit of its records.
   void append(std::string record, Duration window, Duration timeLimit, Callback callback);
 
  private:
@@ -41,7 +41,7 @@
     Callback callback;
   };
 
-  void onDue(std::uint64_t number);
+  void onWindowElapsed(std::uint64_t generation);
   void flush();
   std::vector<Pending> takeBatch();
   void onAppended(const std::vector<Pending>& batch, const StoreResult<AppendReply>& result);
@@ -52,10 +52,10 @@
   PartitionAddress partition_;
   AppendBatcherKnobs knobs_;
   std::vector<Pending> pending_;
-  bool underWay_ = false;
-  bool dueWhileUnderWay_ = false;
-  std::optional<Instant> dueAt_;
-  std::uint64_t timerNumber_ = 0;  ///< Timers of older numbers are ignored.
+  bool isAppendInFlight_ = false;
+  bool isFlushDeferred_ = false;
+  std::optional<Instant> flushAt_;
+  std::uint64_t timerGeneration_ = 0;  ///< Timers of earlier generations are ignored.
 };
 
 }  // namespace gorsetrail::logstore
--- a/src/logstore/call_pacer.h
+++ b/src/logstore/call_pacer.h
@@ -1,4 +1,4 @@
-/// \file How long to wait for the store, learned from its answers, and when to ask again.
+/// \file Adaptive reply timeouts and retry backoff for store calls.
 #pragma once
 
 #include <algorithm>
@@ -8,37 +8,38 @@
 
 namespace gorsetrail::logstore {
 
-/// Knobs of `CallPacer`.
+/// Settings of `CallPacer`.
 struct CallPacerKnobs {
-  Duration shortestPatience = milliseconds(60);
-  Duration longestPatience = milliseconds(1500);
-  double patienceFactor = 5.0;  ///< Of the usual answer time.
+  Duration shortestPatience = milliseconds(60);   ///< Minimum reply timeout.
+  Duration longestPatience = milliseconds(1500);  ///< Maximum reply timeout.
+  double timeoutFactor = 5.0;  ///< Reply timeout as a multiple of the average latency.
   Duration firstBackoff = milliseconds(15);
   Duration longestBackoff = milliseconds(400);
 };
 
-/// Patience follows the store's own speed, so that a slow store is not asked ever more often, and
-/// a lost answer is found soon while the store is quick.
+/// Derives the reply timeout from a moving average of the store's latency. A slow store is not
+/// overloaded with retries, and a lost reply is detected early while the store is fast.
 class CallPacer {
  public:
   CallPacer(CallPacerKnobs knobs, std::uint64_t seed) : knobs_(knobs), random_(seed) {}
 
-  /// An answer came after this time.
-  void onAnswer(Duration took) {
-    constexpr double kShareOfNewest = 0.2;
-    const auto sample = static_cast<double>(took.count());
-    usualMicroseconds_ += kShareOfNewest * (sample - usualMicroseconds_);
+  /// Adds the latency of one reply to the average.
+  void onAnswer(Duration latency) {
+    constexpr double kSmoothingFactor = 0.2;
+    const auto sample = static_cast<double>(latency.count());
+    averageMicroseconds_ += kSmoothingFactor * (sample - averageMicroseconds_);
   }
 
-  /// \return how long try number `attempt` (from 0) of a call waits for its answer.
+  /// \return the reply timeout of attempt number `attempt` (from 0); it doubles with each attempt.
   [[nodiscard]] Duration patience(std::uint32_t attempt) const {
-    const auto usual = Duration(static_cast<Duration::rep>(usualMicroseconds_));
-    const auto base = std::max(knobs_.shortestPatience,
-                               std::chrono::duration_cast<Duration>(usual * knobs_.patienceFactor));
+    const auto average = Duration(static_cast<Duration::rep>(averageMicroseconds_));
+    const auto base =
+        std::max(knobs_.shortestPatience,
+                 std::chrono::duration_cast<Duration>(average * knobs_.timeoutFactor));
     return std::min(knobs_.longestPatience, base * (std::int64_t{1} << std::min(attempt, 5U)));
   }
 
-  /// \return the pause before try number `attempt` (from 1), with jitter.
+  /// \return the backoff before retry number `attempt` (from 1): exponential, with jitter.
   Duration backoff(std::uint32_t attempt) {
     const Duration full = std::min(
         knobs_.longestBackoff, knobs_.firstBackoff * (std::int64_t{1} << std::min(attempt, 6U)));
@@ -49,7 +50,7 @@
  private:
   CallPacerKnobs knobs_;
   RandomSource random_;
-  double usualMicroseconds_ = 8000;
+  double averageMicroseconds_ = 8000;
 };
 
 }  // namespace gorsetrail::logstore
--- a/src/logstore/compacted_topic.cpp
+++ b/src/logstore/compacted_topic.cpp
@@ -12,13 +12,13 @@
     return;
   }
   listing_->keys.insert(item.key);
-  // A value from behind the listing's start is read again from there: taken now, it would look
-  // unchanged then, and followers that go on from the start would not be told of it.
-  const auto known = entries_.find(item.key);
-  const bool isOlder = known != entries_.end() && item.offset < known->second.changedAt;
+  // A value at or after the listing's end offset is read again from there. If it were set now, that
+  // read would see it as unchanged, and followers reading from that offset would miss the change.
+  const auto existing = entries_.find(item.key);
+  const bool isOlder = existing != entries_.end() && item.offset < existing->second.changedAt;
   if (item.offset < listing_->end && !isOlder) {
-    // The true offset of the change is not known: whoever asks from further back than this one gets
-    // the key once more.
+    // The true offset of the change is not known. The latest possible one is used, so that
+    // followers may receive the key twice but never miss it.
     set(item.key, item.value, listing_->end - 1);
   }
 }
@@ -39,10 +39,10 @@
     remove(key, before);
   }
   if (!isComplete_) {
-    start_ = listing_->end;
+    firstAvailable_ = listing_->end;
   }
   end_ = std::max(end_, listing_->end);
-  // What the listing changed has no record of its own.
+  // Changes found by the listing have no records in `recent_`, so it is no longer gapless.
   recent_.clear();
   recentStart_ = end_;
   isComplete_ = true;
@@ -62,27 +62,28 @@
     isChange = set(key, value, offset);
   }
   if (isChange) {
-    keepRecent(offset, record);
+    recordRecentChange(offset, record);
   }
 }
 
-void CompactedTopic::keepRecent(std::uint64_t offset, const std::string& record) {
+void CompactedTopic::recordRecentChange(std::uint64_t offset, const std::string& record) {
   recent_.emplace_back(offset, record);
-  if (recent_.size() > knobs_.mostRecentChanges) {
+  if (recent_.size() > knobs_.maximumRecentChanges) {
     recentStart_ = recent_.front().first + 1;
     recent_.pop_front();
   }
 }
 
-void CompactedTopic::take(std::uint64_t start, const ReadReply& reply) {
+void CompactedTopic::applyReply(std::uint64_t start, const ReadReply& reply) {
   if (!isComplete_ || start > end_) {
     return;
   }
-  // Changes that a listing found stand at one offset, so the end before them decides for all.
-  const std::uint64_t known = end_;
+  // Several records may share one offset, because changes found by a listing do. All are compared
+  // with the end before the reply, so that the first does not cause the others to be skipped.
+  const std::uint64_t previousEnd = end_;
   for (std::size_t index = 0; index < reply.records.size(); ++index) {
     const std::uint64_t offset = reply.changes ? reply.changes->offsets[index] : start + index;
-    if (offset >= known) {
+    if (offset >= previousEnd) {
       apply(offset, reply.records[index]);
     }
   }
@@ -95,8 +96,8 @@
   Entry& entry = found->second;
   const bool unchanged = !isNew && !entry.value.empty() && isUnchanged_(entry.value, value);
   if (!unchanged) {
-    removedKeys_ -= !isNew && entry.value.empty() ? 1 : 0;
-    move(key, entry, changedAt);
+    tombstoneCount_ -= !isNew && entry.value.empty() ? 1 : 0;
+    setChangeOffset(key, entry, changedAt);
   }
   entry.value = value;
   return !unchanged;
@@ -106,31 +107,32 @@
   const auto [found, isNew] = entries_.try_emplace(key);
   Entry& entry = found->second;
   if (isNew || !entry.value.empty()) {
-    ++removedKeys_;
+    ++tombstoneCount_;
   }
   entry.value.clear();
-  move(key, entry, changedAt);
-  dropOldRemovals();
+  setChangeOffset(key, entry, changedAt);
+  evictTombstones();
 }
 
-void CompactedTopic::move(const std::string& key, Entry& entry, std::uint64_t changedAt) {
+void CompactedTopic::setChangeOffset(const std::string& key, Entry& entry,
+                                     std::uint64_t changedAt) {
   changes_.erase({entry.changedAt, key});
   entry.changedAt = changedAt;
   changes_.emplace(changedAt, key);
 }
 
-void CompactedTopic::dropOldRemovals() {
-  if (removedKeys_ <= knobs_.mostRemovedKeys) {
+void CompactedTopic::evictTombstones() {
+  if (tombstoneCount_ <= knobs_.maximumRemovedKeys) {
     return;
   }
-  // Half of them at a time: each walk over the changes pays for thousands of removals.
+  // Evicts half of the limit at once, so that the scan over all changes is rare.
   for (auto change = changes_.begin();
-       change != changes_.end() && removedKeys_ > knobs_.mostRemovedKeys / 2;) {
+       change != changes_.end() && tombstoneCount_ > knobs_.maximumRemovedKeys / 2;) {
     const auto entry = entries_.find(change->second);
     if (entry->second.value.empty()) {
-      start_ = change->first + 1;
+      firstAvailable_ = change->first + 1;
       entries_.erase(entry);
-      --removedKeys_;
+      --tombstoneCount_;
       change = changes_.erase(change);
     } else {
       ++change;
@@ -139,14 +141,15 @@
 }
 
 std::optional<ReadReply> CompactedTopic::changesSince(std::uint64_t start,
-                                                      std::size_t mostBytes) const {
-  if (!isComplete_ || start < start_ || start > end_) {
+                                                      std::size_t maximumBytes) const {
+  if (!isComplete_ || start < firstAvailable_ || start > end_) {
     return std::nullopt;
   }
-  return start >= recentStart_ ? recentSince(start, mostBytes) : newestSince(start, mostBytes);
+  return start >= recentStart_ ? recentChangesSince(start, maximumBytes)
+                               : latestValuesSince(start, maximumBytes);
 }
 
-ReadReply CompactedTopic::recentSince(std::uint64_t start, std::size_t mostBytes) const {
+ReadReply CompactedTopic::recentChangesSince(std::uint64_t start, std::size_t maximumBytes) const {
   ReadReply reply;
   reply.end = end_;
   reply.firstKept = start;
@@ -155,17 +158,17 @@
   auto change =
       std::lower_bound(recent_.begin(), recent_.end(), start,
                        [](const auto& kept, std::uint64_t offset) { return kept.first < offset; });
-  for (; change != recent_.end() && bytes < mostBytes; ++change) {
+  for (; change != recent_.end() && bytes < maximumBytes; ++change) {
     reply.changes->offsets.push_back(change->first);
     reply.records.push_back(change->second);
     bytes += change->second.size();
   }
-  const bool isAll = change == recent_.end();
-  reply.changes->next = isAll ? end_ : reply.changes->offsets.back() + 1;
+  const bool reachedEnd = change == recent_.end();
+  reply.changes->next = reachedEnd ? end_ : reply.changes->offsets.back() + 1;
   return reply;
 }
 
-ReadReply CompactedTopic::newestSince(std::uint64_t start, std::size_t mostBytes) const {
+ReadReply CompactedTopic::latestValuesSince(std::uint64_t start, std::size_t maximumBytes) const {
   ReadReply reply;
   reply.end = end_;
   reply.firstKept = start;
@@ -175,20 +178,20 @@
   for (; change != changes_.end(); ++change) {
     const bool isSplit =
         !reply.changes->offsets.empty() && reply.changes->offsets.back() == change->first;
-    if (bytes >= mostBytes && !isSplit) {
-      break;  // Records of one offset stay together: the follower goes on behind it.
+    if (bytes >= maximumBytes && !isSplit) {
+      break;  // Records of one offset stay together: the next read starts after that offset.
     }
     reply.records.push_back(
         encodeKeyedRecord(change->second, entries_.find(change->second)->second.value));
     reply.changes->offsets.push_back(change->first);
     bytes += reply.records.back().size();
   }
-  const bool isAll = change == changes_.end();
-  reply.changes->next = isAll ? end_ : reply.changes->offsets.back() + 1;
+  const bool reachedEnd = change == changes_.end();
+  reply.changes->next = reachedEnd ? end_ : reply.changes->offsets.back() + 1;
   return reply;
 }
 
-NewestReply CompactedTopic::page(const std::string& afterKey, std::size_t mostBytes) const {
+NewestReply CompactedTopic::page(const std::string& afterKey, std::size_t maximumBytes) const {
   NewestReply reply;
   reply.end = end_;
   std::size_t bytes = 0;
@@ -196,7 +199,7 @@
     if (entry->second.value.empty()) {
       continue;
     }
-    if (bytes >= mostBytes) {
+    if (bytes >= maximumBytes) {
       reply.hasMore = true;
       break;
     }
--- a/src/logstore/compacted_topic.h
+++ b/src/logstore/compacted_topic.h
@@ -1,5 +1,5 @@
-/// \file The newest record of every key of one partition, with the offset at which each last
-/// changed.
+/// \file In-memory view of a keyed partition: the latest value of each key, with the offset of its
+/// last change.
 #pragma once
 
 #include <cstddef>
@@ -16,57 +16,61 @@
 
 namespace gorsetrail::logstore {
 
-/// \return whether a keyed record's new value says nothing that the old one did not.
+/// \return whether the new value of a key is equivalent to the old one, as in a plain heartbeat.
 using IsUnchanged = std::function<bool(const std::string& oldValue, const std::string& newValue)>;
 
-/// Knobs of `CompactedTopic`.
+/// Settings of `CompactedTopic`.
 struct CompactedTopicKnobs {
-  /// Removed keys that are remembered, so that a follower which was away learns of them. Ten
-  /// thousand are 1 MB; a follower further behind lists anew.
-  std::size_t mostRemovedKeys = 10000;
-  /// Changes that are kept one by one, so that followers see each of several of one key, such as a
-  /// replica that drains and is ready again between two reads. 1 MB at 250 B; a follower further
-  /// behind gets the newest of each key.
-  std::size_t mostRecentChanges = 4000;
+  /// Maximum number of tombstones, about 100 B each. Followers that lag behind the oldest one have
+  /// to list all keys again.
+  std::size_t maximumRemovedKeys = 10000;
+  /// Maximum number of individual changes, about 250 B each. They let followers see intermediate
+  /// values, such as a replica that drains and becomes ready again between two reads. Followers
+  /// that lag further behind receive only the latest value of each key.
+  std::size_t maximumRecentChanges = 4000;
 };
 
-/// A node's copy of a keyed partition. It is filled by the node's follower and its gateway, from
-/// the store or from another node's copy, and answers other nodes from what it holds: a page of the
-/// listing, or the changes since an offset. Heartbeats that change nothing only move its end, so
-/// its size follows the number of keys and not the rate of records. No I/O, no clock.
+/// A node's copy of a keyed partition, from which it serves other nodes: pages of a key listing, or
+/// the changes since an offset. The node's follower and gateway update it from the store or from
+/// another node's copy. Records that change nothing only advance its end, so its size depends on
+/// the number of keys and not on the record rate. It does no I/O and reads no clock.
 class CompactedTopic {
  public:
   explicit CompactedTopic(IsUnchanged isUnchanged, CompactedTopicKnobs knobs = {})
       : isUnchanged_(std::move(isUnchanged)), knobs_(knobs) {}
 
-  /// A listing began whose first page was made when the partition ended here. What stood before is
-  /// kept until the listing is whole.
+  /// Starts a listing. The present contents stay available until `endListing`.
+  /// \param end end offset of the partition when the first page was made.
   void beginListing(std::uint64_t end);
   void addListed(const KeyedItem& item);
-  /// The listing is whole: keys that it lacks are removed.
+  /// Completes the listing and removes the keys that were not listed.
   void endListing();
-  /// \return whether a listing was read whole, so that other nodes can be answered.
+  /// \return whether a listing was completed, so that other nodes can be served.
   [[nodiscard]] bool isComplete() const { return isComplete_; }
 
-  /// Takes a reply to a read from `start`; records that were taken before are passed over, and so
-  /// is a reply that begins behind the copy's end.
-  void take(std::uint64_t start, const ReadReply& reply);
-  /// \return the offset behind the last record taken.
+  /// Applies the reply to a read from `start`. Records before `end()` are skipped, because they
+  /// were applied already; so is a whole reply whose `start` is after `end()`, because records
+  /// between the two would be missed.
+  void applyReply(std::uint64_t start, const ReadReply& reply);
+  /// \return the offset after the last record applied.
   [[nodiscard]] std::uint64_t end() const { return end_; }
 
-  /// \return the records that changed a key from `start` on, or the newest of each such key where
-  /// they are too many, in the log's order, at least one and about `mostBytes`; nothing when
-  /// `start` is older or newer than what is kept here.
+  /// Returns changes in log order, about `maximumBytes` of them and at least one if there is any.
+  /// \return the individual changes from `start` on, or only the latest one of each key when
+  /// individual changes from `start` are no longer available; nothing when `start` is outside the
+  /// offsets that this copy covers.
   [[nodiscard]] std::optional<ReadReply> changesSince(std::uint64_t start,
-                                                      std::size_t mostBytes) const;
-  /// \return the keys after this one, about `mostBytes`. Call only when complete.
-  [[nodiscard]] NewestReply page(const std::string& afterKey, std::size_t mostBytes) const;
-  [[nodiscard]] std::size_t keys() const { return entries_.size() - removedKeys_; }
+                                                      std::size_t maximumBytes) const;
+  /// Requires `isComplete()`.
+  /// \return the keys after `afterKey` in key order, about `maximumBytes` of them.
+  [[nodiscard]] NewestReply page(const std::string& afterKey, std::size_t maximumBytes) const;
+  /// \return the number of keys, without tombstones.
+  [[nodiscard]] std::size_t keys() const { return entries_.size() - tombstoneCount_; }
 
  private:
   void apply(std::uint64_t offset, const std::string& record);
 
-  /// An empty value: the key was removed.
+  /// An empty value is a tombstone.
   struct Entry {
     std::string value;
     std::uint64_t changedAt = 0;
@@ -76,23 +80,23 @@
     std::set<std::string> keys;
   };
 
-  /// \return whether the value says something new.
+  /// \return whether the value is a change, as opposed to equivalent.
   bool set(const std::string& key, const std::string& value, std::uint64_t changedAt);
   void remove(const std::string& key, std::uint64_t changedAt);
-  void move(const std::string& key, Entry& entry, std::uint64_t changedAt);
-  void dropOldRemovals();
-  void keepRecent(std::uint64_t offset, const std::string& record);
-  [[nodiscard]] ReadReply recentSince(std::uint64_t start, std::size_t mostBytes) const;
-  [[nodiscard]] ReadReply newestSince(std::uint64_t start, std::size_t mostBytes) const;
+  void setChangeOffset(const std::string& key, Entry& entry, std::uint64_t changedAt);
+  void evictTombstones();
+  void recordRecentChange(std::uint64_t offset, const std::string& record);
+  [[nodiscard]] ReadReply recentChangesSince(std::uint64_t start, std::size_t maximumBytes) const;
+  [[nodiscard]] ReadReply latestValuesSince(std::uint64_t start, std::size_t maximumBytes) const;
 
   IsUnchanged isUnchanged_;
   CompactedTopicKnobs knobs_;
   std::map<std::string, Entry> entries_;
-  std::set<std::pair<std::uint64_t, std::string>> changes_;   ///< Offset and key, one a key.
+  std::set<std::pair<std::uint64_t, std::string>> changes_;   ///< Offset and key; one per key.
   std::deque<std::pair<std::uint64_t, std::string>> recent_;  ///< Offset and record.
-  std::uint64_t recentStart_ = 0;  ///< `recent_` has every change from here on.
-  std::size_t removedKeys_ = 0;
-  std::uint64_t start_ = 0;  ///< Changes are known from here on.
+  std::uint64_t recentStart_ = 0;  ///< `recent_` holds every change from here on.
+  std::size_t tombstoneCount_ = 0;
+  std::uint64_t firstAvailable_ = 0;  ///< Older changes are not available.
   std::uint64_t end_ = 0;
   bool isComplete_ = false;
   std::optional<Listing> listing_;
--- a/src/logstore/failover_store.cpp
+++ b/src/logstore/failover_store.cpp
@@ -17,24 +17,25 @@
       knobs_(knobs),
       lastAnswerAt_(clock_()) {}
 
-LogStore& FailoverStore::choose() {
+LogStore& FailoverStore::selectRoute() {
   const Instant now = clock_();
-  const bool inReach =
-      failuresInARow_ < knobs_.failuresToSwitch || now - lastAnswerAt_ < knobs_.silence;
-  if (inReach) {
+  const bool isReachable =
+      consecutiveFailures_ < knobs_.failuresToSwitch || now - lastAnswerAt_ < knobs_.minimumOutage;
+  if (isReachable) {
     return direct_;
   }
-  if (now >= nextTrialAt_) {
-    nextTrialAt_ = now + knobs_.trialPeriod;
+  if (now >= nextProbeAt_) {
+    nextProbeAt_ = now + knobs_.probeInterval;
     return direct_;
   }
-  take(StoreWay::Relay);
+  setRoute(StoreWay::Relay);
   return relay_;
 }
 
 template <class Reply>
-StoreCallback<Reply> FailoverStore::watched(const LogStore& used, StoreCallback<Reply> callback) {
-  if (&used != &direct_) {
+StoreCallback<Reply> FailoverStore::trackOutcome(const LogStore& target,
+                                                 StoreCallback<Reply> callback) {
+  if (&target != &direct_) {
     return callback;
   }
   return [this, callback = std::move(callback)](StoreResult<Reply> result) {
@@ -45,33 +46,33 @@
 }
 
 void FailoverStore::append(AppendRequest request, StoreCallback<AppendReply> callback) {
-  LogStore& way = choose();
-  way.append(std::move(request), watched(way, std::move(callback)));
+  LogStore& route = selectRoute();
+  route.append(std::move(request), trackOutcome(route, std::move(callback)));
 }
 
 void FailoverStore::read(ReadRequest request, StoreCallback<ReadReply> callback) {
-  LogStore& way = choose();
-  way.read(std::move(request), watched(way, std::move(callback)));
+  LogStore& route = selectRoute();
+  route.read(std::move(request), trackOutcome(route, std::move(callback)));
 }
 
 void FailoverStore::newest(NewestRequest request, StoreCallback<NewestReply> callback) {
-  LogStore& way = choose();
-  way.newest(std::move(request), watched(way, std::move(callback)));
+  LogStore& route = selectRoute();
+  route.newest(std::move(request), trackOutcome(route, std::move(callback)));
 }
 
 void FailoverStore::onDirectResult(bool answered) {
   if (!answered) {
-    ++failuresInARow_;
+    ++consecutiveFailures_;
     return;
   }
-  failuresInARow_ = 0;
+  consecutiveFailures_ = 0;
   lastAnswerAt_ = clock_();
-  take(StoreWay::Direct);
+  setRoute(StoreWay::Direct);
 }
 
-void FailoverStore::take(StoreWay way) {
-  if (std::exchange(way_, way) != way) {
-    onSwitched_(way);
+void FailoverStore::setRoute(StoreWay route) {
+  if (std::exchange(route_, route) != route) {
+    onSwitched_(route);
   }
 }
 
--- a/src/logstore/failover_store.h
+++ b/src/logstore/failover_store.h
@@ -1,4 +1,4 @@
-/// \file Calls to the store by the way that works: directly, or through another node.
+/// \file Failover between a direct connection to the store and a relay through another node.
 #pragma once
 
 #include <functional>
@@ -9,27 +9,28 @@
 
 namespace gorsetrail::logstore {
 
-/// \return whether the store itself spoke: such a fault shows that it was reached.
+/// \return whether the fault was reported by the store itself, which proves that it is reachable.
 bool isStoreAnswer(StoreFault fault);
 
-/// Which way a call took.
+/// Route of a call to the store.
 enum class StoreWay : std::uint8_t { Direct, Relay };
 
-/// When calls go through other nodes.
+/// Conditions for switching to the relay and back.
 struct FailoverKnobs {
-  std::uint32_t failuresToSwitch = 4;        ///< In a row, without one answer.
-  Duration silence = milliseconds(400);      ///< And since the last answer.
-  Duration trialPeriod = milliseconds(400);  ///< One call at a time tries the direct way again.
+  std::uint32_t failuresToSwitch = 4;          ///< Consecutive failed direct calls.
+  Duration minimumOutage = milliseconds(400);  ///< Minimum time since the last direct reply.
+  /// While the relay is in use, one call per interval goes direct.
+  Duration probeInterval = milliseconds(400);
 };
 
-/// The store may be out of this node's reach, or refuse just this node, while others reach it. A
-/// single direct answer shows that it is in reach: partitions that are down are down for others
-/// too. Every call may be made twice by design (see `PersistentStore`), so switching is safe at any
-/// moment.
+/// Sends calls directly to the store, or through a relay when the store is unreachable from this
+/// node or refuses it. A single direct reply proves that the store is reachable: unavailable
+/// partitions are unavailable to other nodes too. Switching is safe at any time, because every call
+/// may be made twice (see `PersistentStore`).
 class FailoverStore final : public LogStore {
  public:
-  /// \param onSwitched told when calls begin to take another way.
-  /// \param direct, relay outlive this object.
+  /// \param direct, relay must outlive this object.
+  /// \param onSwitched called when the route changes.
   FailoverStore(LogStore& direct, LogStore& relay, ClockFunction clock, FailoverKnobs knobs,
                 std::function<void(StoreWay)> onSwitched);
 
@@ -37,25 +38,25 @@
   void read(ReadRequest request, StoreCallback<ReadReply> callback) override;
   void newest(NewestRequest request, StoreCallback<NewestReply> callback) override;
 
-  /// \return whether the direct way is in use.
-  [[nodiscard]] bool isDirect() const { return way_ == StoreWay::Direct; }
+  /// \return whether the direct route is in use.
+  [[nodiscard]] bool isDirect() const { return route_ == StoreWay::Direct; }
 
  private:
-  LogStore& choose();
+  LogStore& selectRoute();
   template <class Reply>
-  StoreCallback<Reply> watched(const LogStore& used, StoreCallback<Reply> callback);
+  StoreCallback<Reply> trackOutcome(const LogStore& target, StoreCallback<Reply> callback);
   void onDirectResult(bool answered);
-  void take(StoreWay way);
+  void setRoute(StoreWay route);
 
   LogStore& direct_;
   LogStore& relay_;
   ClockFunction clock_;
   std::function<void(StoreWay)> onSwitched_;
   FailoverKnobs knobs_;
-  std::uint32_t failuresInARow_ = 0;
+  std::uint32_t consecutiveFailures_ = 0;
   Instant lastAnswerAt_;
-  Instant nextTrialAt_;
-  StoreWay way_ = StoreWay::Direct;
+  Instant nextProbeAt_;
+  StoreWay route_ = StoreWay::Direct;
 };
 
 }  // namespace gorsetrail::logstore
--- a/src/logstore/keyed_topic_follower.cpp
+++ b/src/logstore/keyed_topic_follower.cpp
@@ -22,13 +22,13 @@
 
 void KeyedTopicFollower::restartListing() {
   listedKeys_.clear();
-  firstPage_ = true;
+  isFirstPage_ = true;
   listFrom({});
 }
 
 void KeyedTopicFollower::listFrom(const std::string& afterKey) {
   const Instant askedAt = clock_();
-  store_.newest({partition_, afterKey, knobs_.listingPatience, knobs_.pageTransferTime},
+  store_.newest({partition_, afterKey, knobs_.listingTimeout, knobs_.pageTransferTime},
                 [self = shared_from_this(), askedAt](const StoreResult<NewestReply>& result) {
                   self->onPage(askedAt, result);
                 });
@@ -36,13 +36,13 @@
 
 void KeyedTopicFollower::onPage(Instant askedAt, const StoreResult<NewestReply>& result) {
   if (const auto* const error = std::get_if<StoreError>(&result)) {
-    onFailure(*error, &KeyedTopicFollower::listOn);
+    onFailure(*error, &KeyedTopicFollower::resumeListing);
     return;
   }
-  failuresInARow_ = 0;
+  consecutiveFailures_ = 0;
   const auto& page = std::get<NewestReply>(result);
-  if (std::exchange(firstPage_, false)) {
-    position_ = page.end;
+  if (std::exchange(isFirstPage_, false)) {
+    nextOffset_ = page.end;
     if (copy_ != nullptr) {
       copy_->beginListing(page.end);
     }
@@ -64,12 +64,12 @@
   observer_.onListed(listedKeys_);
   observer_.onFresh(askedAt);
   listedKeys_.clear();
-  later(&KeyedTopicFollower::readOn);
+  scheduleStep(&KeyedTopicFollower::readNext);
 }
 
-void KeyedTopicFollower::readOn() {
+void KeyedTopicFollower::readNext() {
   const Instant askedAt = clock_();
-  ReadRequest request{partition_, position_, knobs_.wait, knobs_.wait + knobs_.patience};
+  ReadRequest request{partition_, nextOffset_, knobs_.wait, knobs_.wait + knobs_.patience};
   request.changesOnly = true;
   store_.read(std::move(request),
               [self = shared_from_this(), askedAt](const StoreResult<ReadReply>& result) {
@@ -84,21 +84,21 @@
       return;
     }
     if (error->fault == StoreFault::NotKept) {
-      later(&KeyedTopicFollower::restartListing);
+      scheduleStep(&KeyedTopicFollower::restartListing);
       return;
     }
-    onFailure(*error, &KeyedTopicFollower::readOn);
+    onFailure(*error, &KeyedTopicFollower::readNext);
     return;
   }
-  failuresInARow_ = 0;
+  consecutiveFailures_ = 0;
   const auto& reply = std::get<ReadReply>(result);
-  if (reply.firstKept > position_) {
-    // Records that were never read are gone.
+  if (reply.firstKept > nextOffset_) {
+    // The store dropped records that this follower has not read.
     restartListing();
     return;
   }
   if (copy_ != nullptr) {
-    copy_->take(position_, reply);
+    copy_->applyReply(nextOffset_, reply);
   }
   for (const std::string& record : reply.records) {
     const auto [key, value] = decodeKeyedRecord(record);
@@ -106,18 +106,19 @@
       observer_.onRecord(key, value);
     }
   }
-  const std::uint64_t before = std::exchange(position_, nextOffset(position_, reply));
-  const bool behind = position_ < reply.end;
-  if (behind && position_ > before) {
-    readOn();
+  const std::uint64_t previousOffset = std::exchange(nextOffset_, nextOffset(nextOffset_, reply));
+  const bool isBehind = nextOffset_ < reply.end;
+  if (isBehind && nextOffset_ > previousOffset) {
+    readNext();
     return;
   }
-  // A held read that came back empty was asked long ago, but says what is true now.
+  // A long poll that ends without records proves that the state is current now, not only as of
+  // the time of the request.
   observer_.onFresh(reply.records.empty() && knobs_.wait > Duration::zero() ? clock_() : askedAt);
-  later(&KeyedTopicFollower::readOn);
+  scheduleStep(&KeyedTopicFollower::readNext);
 }
 
-void KeyedTopicFollower::takeNextStep() {
+void KeyedTopicFollower::runNextStep() {
   const auto step = std::exchange(nextStep_, nullptr);
   if (step != nullptr) {
     (this->*step)();
@@ -125,36 +126,36 @@
 }
 
 void KeyedTopicFollower::retryNow() {
-  if (failuresInARow_ > 0 && nextStep_ != nullptr) {
-    ++pauses_;
-    takeNextStep();
+  if (consecutiveFailures_ > 0 && nextStep_ != nullptr) {
+    ++timerGeneration_;
+    runNextStep();
   }
 }
 
 void KeyedTopicFollower::onFailure(const StoreError& error, void (KeyedTopicFollower::*step)()) {
-  ++failuresInARow_;
+  ++consecutiveFailures_;
   observer_.onStale(error);
-  later(step);
+  scheduleStep(step);
 }
 
 Duration KeyedTopicFollower::nextPause() {
-  if (failuresInARow_ < 2) {
+  if (consecutiveFailures_ < 2) {
     return knobs_.pause;
   }
-  constexpr std::uint32_t kMostDoublings = 6;
-  const Duration full =
-      std::min(std::max(knobs_.longestPause, knobs_.pause),
-               knobs_.pause * (std::int64_t{1} << std::min(failuresInARow_ - 1, kMostDoublings)));
+  constexpr std::uint32_t kMaximumDoublings = 6;
+  const Duration full = std::min(
+      std::max(knobs_.longestPause, knobs_.pause),
+      knobs_.pause * (std::int64_t{1} << std::min(consecutiveFailures_ - 1, kMaximumDoublings)));
   const auto jitter = static_cast<std::uint64_t>(full.count() / 2);
   return full / 2 + Duration(static_cast<Duration::rep>(random_.below(jitter + 1)));
 }
 
-void KeyedTopicFollower::later(void (KeyedTopicFollower::*step)()) {
+void KeyedTopicFollower::scheduleStep(void (KeyedTopicFollower::*step)()) {
   nextStep_ = step;
-  timers_.runAfter(nextPause(), [weak = weak_from_this(), number = ++pauses_] {
+  timers_.runAfter(nextPause(), [weak = weak_from_this(), generation = ++timerGeneration_] {
     const auto self = weak.lock();
-    if (self && self->pauses_ == number) {
-      self->takeNextStep();
+    if (self && self->timerGeneration_ == generation) {
+      self->runNextStep();
     }
   });
 }
--- a/src/logstore/keyed_topic_follower.h
+++ b/src/logstore/keyed_topic_follower.h
@@ -1,4 +1,4 @@
-/// \file Keeps up with the newest record of every key of a topic.
+/// \file Follows the latest value of every key of a partition.
 #pragma once
 
 #include <functional>
@@ -14,62 +14,62 @@
 
 namespace gorsetrail::logstore {
 
-/// Pace of a follower.
+/// Intervals and timeouts of a follower.
 struct KeyedTopicFollowerKnobs {
-  Duration wait = Duration::zero();       ///< The store holds a read until there is news.
+  Duration wait = Duration::zero();       ///< Long-poll time of a read.
   Duration pause = milliseconds(400);     ///< Between two reads.
-  Duration patience = milliseconds(500);  ///< For an answer, beyond `wait`.
-  /// After failures in a row the pause doubles up to this one, with jitter, so that a store or a
-  /// reader that cannot serve everybody is asked less and less.
+  Duration patience = milliseconds(500);  ///< Reply timeout, in addition to `wait`.
+  /// Maximum pause. Consecutive failures double the pause, with jitter, so that an overloaded store
+  /// or reader receives fewer requests.
   Duration longestPause = milliseconds(1000);
-  /// For a page of the listing, which a reader that many ask at once may send late.
-  Duration listingPatience = milliseconds(2500);
-  /// A second try of a page begins after this. Half of the time above.
+  /// Time limit of a listing page. It is longer than that of a read, because a reader that serves
+  /// many nodes at once may send the page late.
+  Duration listingTimeout = milliseconds(2500);
+  /// Expected transfer time of a page, which delays the start of a second attempt.
   Duration pageTransferTime = milliseconds(400);
 };
 
-/// What a follower reports, in the log's order.
+/// Callbacks of a follower, called in log order.
 struct KeyedTopicObserver {
-  /// A record was read; an empty value means that the key was removed.
+  /// Called for each record; an empty value means that the key was removed.
   std::function<void(const std::string& key, const std::string& value)> onRecord;
-  /// A listing was read whole: these keys exist and no others. Records reported meanwhile by
-  /// `onRecord` are part of it.
+  /// Called after a complete listing: exactly these keys exist. `onRecord` was called for each of
+  /// them during the listing.
   std::function<void(const std::vector<std::string>& keys)> onListed;
-  /// The store answered: what is known was true at `askedAt`.
+  /// Called after a reply: the reported state is at least as recent as `askedAt`.
   std::function<void(Instant askedAt)> onFresh;
-  /// The store did not answer a read.
+  /// Called after a failed read or listing page.
   std::function<void(const StoreError& error)> onStale;
 };
 
-/// Lists all keys once, then reads on from where the listing began: its pages are no snapshot, so
-/// changes made meanwhile are read again. When the history was dropped, it lists anew. A page that
-/// did not come is asked for again; the pages before it stand.
+/// Lists all keys of a partition, then reads its changes. Reading starts at the end offset of the
+/// first page, because the pages are not a consistent snapshot. When the next records were already
+/// dropped, it lists again. A failed page is requested again without repeating earlier pages.
 class KeyedTopicFollower : public std::enable_shared_from_this<KeyedTopicFollower> {
  public:
-  /// \param store, timers outlive this object.
-  /// \param copy outlives this object and is kept up to date with what is read; null: none.
+  /// \param store, timers must outlive this object.
+  /// \param copy updated with every reply; must outlive this object. Null for none.
   KeyedTopicFollower(LogStore& store, services::TimerService& timers, ClockFunction clock,
                      PartitionAddress partition, KeyedTopicFollowerKnobs knobs,
                      KeyedTopicObserver observer, CompactedTopic* copy = nullptr,
                      std::uint64_t seed = 0);
 
   void start();
-  /// A call that waits because the one before it failed is made now: whoever can answer has
-  /// changed.
+  /// Cuts a pause after a failure short. Call it when another node or route can answer now.
   void retryNow();
-  /// Changes the pause between two reads, from the next one on.
+  /// Sets the pause between two reads; a pause that has started keeps its length.
   void setPause(Duration pause) { knobs_.pause = pause; }
 
  private:
   void listFrom(const std::string& afterKey);
   void onPage(Instant askedAt, const StoreResult<NewestReply>& result);
-  void readOn();
+  void readNext();
   void onRead(Instant askedAt, const StoreResult<ReadReply>& result);
-  void later(void (KeyedTopicFollower::*step)());
-  void takeNextStep();
+  void scheduleStep(void (KeyedTopicFollower::*step)());
+  void runNextStep();
   void onFailure(const StoreError& error, void (KeyedTopicFollower::*step)());
-  void listOn() { listFrom(listedKeys_.empty() ? std::string() : listedKeys_.back()); }
-  /// \return the pause before the next call, jittered after failures.
+  void resumeListing() { listFrom(listedKeys_.empty() ? std::string() : listedKeys_.back()); }
+  /// \return the pause before the next call, with backoff and jitter after repeated failures.
   Duration nextPause();
   void restartListing();
 
@@ -82,11 +82,11 @@
   std::vector<std::string> listedKeys_;
   CompactedTopic* copy_;
   RandomSource random_;
-  std::uint32_t failuresInARow_ = 0;
-  void (KeyedTopicFollower::*nextStep_)() = nullptr;  ///< Waits for its pause; null: none does.
-  std::uint64_t pauses_ = 0;                          ///< Only the last one ends in a call.
-  bool firstPage_ = true;
-  std::uint64_t position_ = 0;
+  std::uint32_t consecutiveFailures_ = 0;
+  void (KeyedTopicFollower::*nextStep_)() = nullptr;  ///< Null when none is scheduled.
+  std::uint64_t timerGeneration_ = 0;  ///< Timers of earlier generations are ignored.
+  bool isFirstPage_ = true;
+  std::uint64_t nextOffset_ = 0;
 };
 
 }  // namespace gorsetrail::logstore
--- a/src/logstore/log_store.h
+++ b/src/logstore/log_store.h
@@ -1,8 +1,7 @@
-/// \file The shared store that everything lasting stands in: logs of records by topic and
-/// partition.
+/// \file Interface of the shared durable log store: append-only logs by topic and partition.
 ///
-/// What the store has acknowledged, it keeps. A call without an answer may have been done, or may
-/// be done later; so everything that this product appends is a fact that may stand twice.
+/// Acknowledged records are durable. A call without a reply may have been executed, or may still be
+/// executed later, so every record must tolerate being appended twice.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +17,7 @@
 
 namespace gorsetrail::logstore {
 
-/// One log.
+/// Names one log.
 struct PartitionAddress {
   std::string topic;
   std::uint32_t partition = 0;
@@ -28,14 +27,14 @@
 /// \return `topic/partition`, for log lines.
 std::string textOf(const PartitionAddress& address);
 
-/// Why a call brought nothing.
+/// Reason why a call failed.
 enum class StoreFault : std::uint8_t {
-  NoAnswer,   ///< Not reached, cut or silent: the call may have been done.
-  Busy,       ///< It did nothing and wants to be asked later.
-  Throttled,  ///< Over the shared rate: it did nothing.
-  Compacted,  ///< The records asked for are gone; list again.
-  Rejected,   ///< The call was wrong: asking again does not help.
-  NotKept,    ///< A reader keeps no records from so far back; the store itself may have them.
+  NoAnswer,   ///< No reply, or no connection: the call may have been executed.
+  Busy,       ///< Not executed; retry later.
+  Throttled,  ///< Not executed, because the shared rate limit is exceeded.
+  Compacted,  ///< The requested records were dropped; list the keys again.
+  Rejected,   ///< Invalid request; a retry does not help.
+  NotKept,    ///< A reader node does not cover these offsets; the store itself may.
 };
 
 /// \return the stable name of a fault, for logs and metrics.
@@ -44,54 +43,55 @@
 struct StoreError {
   StoreFault fault = StoreFault::NoAnswer;
   std::string reason;
-  std::uint64_t firstKept = 0;  ///< With `Compacted`: offset of the oldest record.
+  std::uint64_t firstKept = 0;  ///< With `Compacted`: offset of the oldest available record.
 };
 
-/// A value, or why there is none.
+/// A value, or the error of the call.
 template <class T>
 using StoreResult = std::variant<T, StoreError>;
 
-/// Covers the largest record of the store.
+/// Default limit of one reply; no smaller than the store's largest record.
 inline constexpr std::size_t kMaximumReadBytes = std::size_t{256} * 1024;
 
-/// Records were appended; `offset` is that of the first.
+/// Result of an append.
 struct AppendReply {
-  std::uint64_t offset = 0;
-  std::uint64_t end = 0;
+  std::uint64_t offset = 0;  ///< Of the first record appended.
+  std::uint64_t end = 0;     ///< Offset after the newest record.
 };
 
-/// Where the records of a reply stand that leaves unchanged ones out.
+/// Offsets of a reply that omits records without changes.
 struct RecordChanges {
-  std::vector<std::uint64_t> offsets;  ///< Of each record; they rise.
-  std::uint64_t next = 0;              ///< Where the next read goes on.
+  std::vector<std::uint64_t> offsets;  ///< One per record, in ascending order.
+  std::uint64_t next = 0;              ///< Start of the next read.
 };
 
-/// Records from the offset that was asked for on; fewer than there are when they are many.
+/// Records from the requested offset on, up to the size limit of the request.
 struct ReadReply {
-  std::uint64_t end = 0;        ///< Offset behind the newest record.
-  std::uint64_t firstKept = 0;  ///< Offset of the oldest record.
+  std::uint64_t end = 0;        ///< Offset after the newest record.
+  std::uint64_t firstKept = 0;  ///< Offset of the oldest available record.
   std::vector<std::string> records;
-  /// Set when unchanged records are left out; otherwise `records` has every offset in turn.
+  /// Set when records without changes are omitted; otherwise the offsets of `records` are
+  /// consecutive.
   std::optional<RecordChanges> changes;
 };
 
-/// \return where a read from `start` that brought this reply goes on.
+/// \return the start of the next read, after `reply` to a read from `start`.
 inline std::uint64_t nextOffset(std::uint64_t start, const ReadReply& reply) {
   return reply.changes ? reply.changes->next : start + reply.records.size();
 }
 
-/// The newest record of a key.
+/// The latest value of a key.
 struct KeyedItem {
   std::string key;
   std::string value;
   std::uint64_t offset = 0;
 };
 
-/// One page of the newest records by key.
+/// One page of a key listing, in key order.
 struct NewestReply {
   std::vector<KeyedItem> items;
-  bool hasMore = false;   ///< Go on after the last item's key.
-  std::uint64_t end = 0;  ///< Offset behind the newest record, when the page was made.
+  bool hasMore = false;   ///< The next page starts after the last item's key.
+  std::uint64_t end = 0;  ///< Offset after the newest record when the page was made.
 };
 
 template <class T>
@@ -106,14 +106,14 @@
 struct ReadRequest {
   PartitionAddress partition;
   std::uint64_t start = 0;
-  Duration wait = Duration::zero();  ///< Held until a record exists, at most this long.
+  Duration wait = Duration::zero();  ///< Long poll: maximum time to wait for a record.
   Duration timeLimit = milliseconds(500);
-  /// Bytes that one answer brings at most; at least one record comes. A short answer also gets
-  /// through a narrow link before its call is given up.
+  /// Maximum size of a reply; it has at least one record if one exists. A smaller limit lets
+  /// replies arrive within the time limit over a slow link.
   std::size_t maximumBytes = kMaximumReadBytes;
-  /// What the transfer of a full answer may take before the call counts as silent.
+  /// Expected transfer time of a full reply, added to the reply timeout.
   Duration transferTime = Duration::zero();
-  /// The caller takes replies with `ReadReply::changes`. Only readers of followed topics make them.
+  /// Whether the caller accepts `ReadReply::changes`, which only reader nodes send.
   bool changesOnly = false;
 };
 
@@ -121,22 +121,24 @@
   PartitionAddress partition;
   std::string afterKey;
   Duration timeLimit = milliseconds(1000);
-  /// What the transfer of a full page may take before the call counts as silent.
+  /// Expected transfer time of a full page, added to the reply timeout.
   Duration transferTime = Duration::zero();
 };
 
-/// Calls to the store. Each calls back exactly once, never from inside the call.
+/// Asynchronous client of the store. Each callback is called exactly once, never from within the
+/// call that received it.
 class LogStore {
  public:
   virtual ~LogStore() = default;
   virtual void append(AppendRequest request, StoreCallback<AppendReply> callback) = 0;
   virtual void read(ReadRequest request, StoreCallback<ReadReply> callback) = 0;
+  /// Lists the latest value of each key, page by page.
   virtual void newest(NewestRequest request, StoreCallback<NewestReply> callback) = 0;
 };
 
-/// \return the bytes of a keyed record: length of the key, the key, the value.
+/// \return a keyed record: key length in one byte, key, value. Longer keys are truncated.
 std::string encodeKeyedRecord(std::string_view key, std::string_view value);
-/// \return key and value; an empty key when the bytes are no keyed record.
+/// \return key and value; both are empty when `record` is not a keyed record.
 std::pair<std::string, std::string> decodeKeyedRecord(std::string_view record);
 
 }  // namespace gorsetrail::logstore
--- a/src/logstore/persistent_store.cpp
+++ b/src/logstore/persistent_store.cpp
@@ -6,10 +6,10 @@
 namespace gorsetrail::logstore {
 namespace {
 
-/// \return how long the store itself may hold the call before it answers.
-Duration heldByStore(const ReadRequest& request) { return request.wait + request.transferTime; }
-Duration heldByStore(const NewestRequest& request) { return request.transferTime; }
-Duration heldByStore(const AppendRequest& /*request*/) { return Duration::zero(); }
+/// \return the part of the reply time that is not latency: the long poll and the transfer.
+Duration holdTimeOf(const ReadRequest& request) { return request.wait + request.transferTime; }
+Duration holdTimeOf(const NewestRequest& request) { return request.transferTime; }
+Duration holdTimeOf(const AppendRequest& /*request*/) { return Duration::zero(); }
 
 engine::CircuitKnobs breakerKnobs(double failuresToOpen) {
   engine::CircuitKnobs knobs;
@@ -19,17 +19,17 @@
   knobs.longestOpenTime = milliseconds(400);
   return knobs;
 }
-/// A try is ended after this many times its patience, but not before `kShortestTry`: an answer
-/// that is only slow still counts.
-constexpr int kTryPatiences = 4;
-constexpr Duration kShortestTry = milliseconds(400);
-/// Tries of one call that may be under way at a time. A partition takes its appends in turn: more
-/// tries would make a slow one slower.
-constexpr std::uint32_t kMostTriesUnderWay = 2;
-constexpr double kFailuresOfPartition = 1.5;
-constexpr double kFailuresOfStore = 3.5;
-
-bool isWorthAnotherTry(StoreFault fault) {
+/// Time limit of an attempt, as a multiple of its reply timeout and at least
+/// `kMinimumAttemptTimeout`, so that slow replies are still accepted.
+constexpr int kAttemptTimeoutFactor = 4;
+constexpr Duration kMinimumAttemptTimeout = milliseconds(400);
+/// Concurrent attempts of one call. A partition executes its appends one after the other, so
+/// further attempts would only slow it down.
+constexpr std::uint32_t kMaximumConcurrentAttempts = 2;
+constexpr double kPartitionFailuresToOpen = 1.5;
+constexpr double kStoreFailuresToOpen = 3.5;
+
+bool isRetryable(StoreFault fault) {
   return fault == StoreFault::NoAnswer || fault == StoreFault::Busy ||
          fault == StoreFault::Throttled;
 }
@@ -41,8 +41,8 @@
   Request request;
   StoreCallback<Reply> callback;
   Instant deadline;
-  std::uint32_t started = 0;   ///< Tries so far.
-  std::uint32_t underWay = 0;  ///< Tries without a result.
+  std::uint32_t attemptsStarted = 0;   ///< Number of attempts started.
+  std::uint32_t attemptsInFlight = 0;  ///< Attempts without a result.
   bool done = false;
 };
 
@@ -52,26 +52,26 @@
       timers_(timers),
       clock_(std::move(clock)),
       pacer_(knobs, seed),
-      wholeStore_(breakerKnobs(kFailuresOfStore)) {}
+      storeBreaker_(breakerKnobs(kStoreFailuresToOpen)) {}
 
 void PersistentStore::append(AppendRequest request, StoreCallback<AppendReply> callback) {
   const Instant deadline = clock_() + request.timeLimit;
   const auto call = std::make_shared<Call<AppendRequest, AppendReply>>(
       Call<AppendRequest, AppendReply>{std::move(request), std::move(callback), deadline});
-  std::erase_if(appends_, [](const auto& earlier) { return earlier.expired(); });
-  appends_.push_back(call);
-  startTry(call);
+  std::erase_if(outstandingAppends_, [](const auto& earlier) { return earlier.expired(); });
+  outstandingAppends_.push_back(call);
+  startAttempt(call);
 }
 
 void PersistentStore::read(ReadRequest request, StoreCallback<ReadReply> callback) {
   const Instant deadline = clock_() + request.timeLimit;
-  startTry(std::make_shared<Call<ReadRequest, ReadReply>>(
+  startAttempt(std::make_shared<Call<ReadRequest, ReadReply>>(
       Call<ReadRequest, ReadReply>{std::move(request), std::move(callback), deadline}));
 }
 
 void PersistentStore::newest(NewestRequest request, StoreCallback<NewestReply> callback) {
   const Instant deadline = clock_() + request.timeLimit;
-  startTry(std::make_shared<Call<NewestRequest, NewestReply>>(
+  startAttempt(std::make_shared<Call<NewestRequest, NewestReply>>(
       Call<NewestRequest, NewestReply>{std::move(request), std::move(callback), deadline}));
 }
 
@@ -86,25 +86,26 @@
 }
 
 template <class Request, class Reply>
-void PersistentStore::startTry(const std::shared_ptr<Call<Request, Reply>>& call) {
+void PersistentStore::startAttempt(const std::shared_ptr<Call<Request, Reply>>& call) {
   const Instant startedAt = clock_();
-  const Duration held = heldByStore(call->request);
-  const Duration patience = pacer_.patience(call->started) + held;
+  const Duration holdTime = holdTimeOf(call->request);
+  const Duration replyTimeout = pacer_.patience(call->attemptsStarted) + holdTime;
   Request request = call->request;
   request.timeLimit =
-      std::min(std::max(kShortestTry, patience * kTryPatiences), call->deadline - startedAt);
+      std::min(std::max(kMinimumAttemptTimeout, replyTimeout * kAttemptTimeoutFactor),
+               call->deadline - startedAt);
   ++counters_.calls;
-  const std::uint32_t number = ++call->started;
-  ++call->underWay;
+  const std::uint32_t attemptNumber = ++call->attemptsStarted;
+  ++call->attemptsInFlight;
   callDirect(std::move(request), [this, call, startedAt](StoreResult<Reply> result) {
     onResult(call, startedAt, std::move(result));
   });
-  timers_.runAfter(patience, [this, weak = std::weak_ptr(call), number] {
+  timers_.runAfter(replyTimeout, [this, weak = std::weak_ptr(call), attemptNumber] {
     const auto waiting = weak.lock();
-    const bool silent = waiting && !waiting->done && waiting->underWay > 0;
-    if (silent && waiting->started == number && waiting->underWay < kMostTriesUnderWay &&
-        clock_() < waiting->deadline) {
-      startTry(waiting);
+    const bool isUnanswered = waiting && !waiting->done && waiting->attemptsInFlight > 0;
+    if (isUnanswered && waiting->attemptsStarted == attemptNumber &&
+        waiting->attemptsInFlight < kMaximumConcurrentAttempts && clock_() < waiting->deadline) {
+      startAttempt(waiting);
     }
   });
 }
@@ -114,71 +115,73 @@
                                StoreResult<Reply> result) {
   const Instant now = clock_();
   const auto* const error = std::get_if<StoreError>(&result);
-  --call->underWay;
-  noteHealth(call->request.partition, error, now);
-  if (error == nullptr && heldByStore(call->request) == Duration::zero()) {
+  --call->attemptsInFlight;
+  updateBreakers(call->request.partition, error, now);
+  if (error == nullptr && holdTimeOf(call->request) == Duration::zero()) {
     pacer_.onAnswer(now - startedAt);
   }
   if (call->done) {
     return;
   }
-  if (error == nullptr || !isWorthAnotherTry(error->fault)) {
+  if (error == nullptr || !isRetryable(error->fault)) {
     ++counters_.answered;
     call->done = true;
     call->callback(std::move(result));
     return;
   }
-  count(error->fault);
-  if (call->underWay > 0) {
-    return;  // Another try may still be answered.
+  countFault(error->fault);
+  if (call->attemptsInFlight > 0) {
+    return;  // Another attempt may still be answered.
   }
-  const Duration pause = pacer_.backoff(call->started);
+  const Duration pause = pacer_.backoff(call->attemptsStarted);
   if (now + pause >= call->deadline) {
     ++counters_.givenUp;
     call->done = true;
     call->callback(std::move(result));
     return;
   }
-  timers_.runAfter(pause, [this, call] { startTry(call); });
+  timers_.runAfter(pause, [this, call] { startAttempt(call); });
 }
 
-void PersistentStore::wakeAppends() {
-  const std::vector<std::weak_ptr<Call<AppendRequest, AppendReply>>> waiting = appends_;
+void PersistentStore::retryOutstandingAppends() {
+  const std::vector<std::weak_ptr<Call<AppendRequest, AppendReply>>> waiting = outstandingAppends_;
   for (const auto& weak : waiting) {
     const auto call = weak.lock();
-    const bool isSilent = call && !call->done && call->underWay > 0;
-    if (isSilent && clock_() < call->deadline) {
-      startTry(call);
+    const bool isUnanswered = call && !call->done && call->attemptsInFlight > 0;
+    if (isUnanswered && clock_() < call->deadline) {
+      startAttempt(call);
     }
   }
 }
 
-void PersistentStore::noteHealth(const PartitionAddress& partition, const StoreError* error,
-                                 Instant now) {
-  if (error == nullptr || !isWorthAnotherTry(error->fault)) {
-    const bool wasSilent = wholeStore_.state(now) != engine::CircuitState::Closed;
-    wholeStore_.onSuccess();
-    failing_.erase(partition);
-    if (wasSilent) {
-      timers_.runAfter(Duration::zero(), [this] { wakeAppends(); });
+void PersistentStore::updateBreakers(const PartitionAddress& partition, const StoreError* error,
+                                     Instant now) {
+  if (error == nullptr || !isRetryable(error->fault)) {
+    const bool wasUnavailable = storeBreaker_.state(now) != engine::CircuitState::Closed;
+    storeBreaker_.onSuccess();
+    partitionBreakers_.erase(partition);
+    if (wasUnavailable) {
+      timers_.runAfter(Duration::zero(), [this] { retryOutstandingAppends(); });
     }
     return;
   }
-  wholeStore_.onFailure(now);
-  const auto entry = failing_.try_emplace(partition, breakerKnobs(kFailuresOfPartition)).first;
+  storeBreaker_.onFailure(now);
+  const auto entry =
+      partitionBreakers_.try_emplace(partition, breakerKnobs(kPartitionFailuresToOpen)).first;
   entry->second.onFailure(now);
 }
 
 bool PersistentStore::answers(const PartitionAddress& partition) const {
   const Instant now = clock_();
-  if (wholeStore_.state(now) == engine::CircuitState::Open) {
+  if (storeBreaker_.state(now) == engine::CircuitState::Open) {
     return false;
   }
-  const auto found = failing_.find(partition);
-  return found == failing_.end() || found->second.state(now) != engine::CircuitState::Open;
+  const auto found = partitionBreakers_.find(partition);
+  return found == partitionBreakers_.end() ||
+         found->second.state(now) != engine::CircuitState::Open;
 }
 
-void PersistentStore::count(StoreFault fault) {
+void PersistentStore::countFault(StoreFault fault) {
   switch (fault) {
     case StoreFault::NoAnswer:
       ++counters_.unanswered;
--- a/src/logstore/persistent_store.h
+++ b/src/logstore/persistent_store.h
@@ -1,4 +1,4 @@
-/// \file Calls that are made again until they are answered or their time is over.
+/// \file Store client that retries calls until they are answered or their time limit expires.
 #pragma once
 
 #include <functional>
@@ -13,10 +13,10 @@
 
 namespace gorsetrail::logstore {
 
-/// Reads the steady clock, or a test's.
+/// Returns the present time of the steady clock, or of a test's clock.
 using ClockFunction = std::function<Instant()>;
 
-/// What became of calls; all only rise.
+/// Monotonic counters of calls and their outcomes.
 struct StoreCounters {
   std::uint64_t calls = 0;
   std::uint64_t answered = 0;
@@ -26,18 +26,18 @@
   std::uint64_t givenUp = 0;
 };
 
-/// Makes appends and reads again until their time limit. An append may then stand twice in the
-/// log: everything appended through here must be a fact that readers may meet twice.
+/// Retries calls with hedged requests and exponential backoff until their time limit. A record may
+/// therefore be appended twice, and readers must tolerate duplicates.
 ///
-/// Order of steps: when an answer takes longer than is usual, another try starts beside the first
-/// one, on another connection, since a connection whose answer was lost says nothing more; the
-/// first answer counts. What is usual is learned from late answers too, so that a slow store is
-/// not asked ever more often. After a refusal the next try waits, longer each time. When the store
-/// answers any call after it had gone silent, appends under way are tried again at once: their own
-/// tries of the silent time get no answer any more, and last up to some seconds.
+/// When a reply takes longer than the adaptive timeout, a hedged request starts on another
+/// connection, because one whose reply was lost may deliver nothing more; the first reply wins.
+/// Late replies also adjust the timeout, so that a slow store does not receive ever more requests.
+/// After a refusal the next attempt waits with backoff. When the store replies after an outage,
+/// outstanding appends are retried at once, because requests sent during the outage may never be
+/// answered and would only time out after seconds.
 class PersistentStore final : public LogStore {
  public:
-  /// \param direct, timers outlive this object.
+  /// \param direct, timers must outlive this object.
   PersistentStore(LogStore& direct, services::TimerService& timers, ClockFunction clock,
                   CallPacerKnobs knobs, std::uint64_t seed);
 
@@ -46,22 +46,22 @@
   void newest(NewestRequest request, StoreCallback<NewestReply> callback) override;
 
   [[nodiscard]] const StoreCounters& counters() const { return counters_; }
-  /// \return whether calls to this partition are likely to be answered: neither its own calls nor
-  /// those to the whole store failed a moment ago. Now and then it is true for a trial.
+  /// \return whether calls to this partition are likely to be answered: false while the circuit
+  /// breaker of the partition or of the whole store is open, true again when a probe is due.
   [[nodiscard]] bool answers(const PartitionAddress& partition) const;
 
  private:
   template <class Request, class Reply>
   struct Call;
   template <class Request, class Reply>
-  void startTry(const std::shared_ptr<Call<Request, Reply>>& call);
+  void startAttempt(const std::shared_ptr<Call<Request, Reply>>& call);
   template <class Request, class Reply>
   void onResult(const std::shared_ptr<Call<Request, Reply>>& call, Instant startedAt,
                 StoreResult<Reply> result);
-  void count(StoreFault fault);
-  /// Tries every append again that waits for an answer of the time before.
-  void wakeAppends();
-  void noteHealth(const PartitionAddress& partition, const StoreError* error, Instant now);
+  void countFault(StoreFault fault);
+  /// Starts another attempt of every append that has no reply yet.
+  void retryOutstandingAppends();
+  void updateBreakers(const PartitionAddress& partition, const StoreError* error, Instant now);
 
   void callDirect(AppendRequest request, StoreCallback<AppendReply> callback);
   void callDirect(ReadRequest request, StoreCallback<ReadReply> callback);
@@ -72,11 +72,11 @@
   ClockFunction clock_;
   CallPacer pacer_;
   StoreCounters counters_;
-  engine::CircuitBreaker wholeStore_;
-  /// Appends that are not done, and some that are.
-  std::vector<std::weak_ptr<Call<AppendRequest, AppendReply>>> appends_;
-  /// Only partitions whose last call failed.
-  std::map<PartitionAddress, engine::CircuitBreaker> failing_;
+  engine::CircuitBreaker storeBreaker_;
+  /// All outstanding appends; may also contain completed ones.
+  std::vector<std::weak_ptr<Call<AppendRequest, AppendReply>>> outstandingAppends_;
+  /// Circuit breakers of the partitions whose last call failed.
+  std::map<PartitionAddress, engine::CircuitBreaker> partitionBreakers_;
 };
 
 }  // namespace gorsetrail::logstore
--- a/src/logstore/store_message.cpp
+++ b/src/logstore/store_message.cpp
@@ -12,53 +12,53 @@
 using Builder = flatbuffers::FlatBufferBuilder;
 using BytesList = flatbuffers::Vector<flatbuffers::Offset<fbs::Bytes>>;
 
-flatbuffers::Offset<flatbuffers::Vector<std::uint8_t>> bytesOf(Builder& builder,
-                                                               std::string_view text) {
+flatbuffers::Offset<flatbuffers::Vector<std::uint8_t>> encodeBytes(Builder& builder,
+                                                                   std::string_view text) {
   return builder.CreateVector(reinterpret_cast<const std::uint8_t*>(text.data()), text.size());
 }
 
-std::string textOf(const flatbuffers::Vector<std::uint8_t>* bytes) {
+std::string toText(const flatbuffers::Vector<std::uint8_t>* bytes) {
   return bytes == nullptr
              ? std::string()
              : std::string(reinterpret_cast<const char*>(bytes->data()), bytes->size());
 }
 
-std::string textOf(const flatbuffers::String* text) {
+std::string toText(const flatbuffers::String* text) {
   return text == nullptr ? std::string() : text->str();
 }
 
-flatbuffers::Offset<BytesList> recordsOf(Builder& builder,
-                                         const std::vector<std::string>& records) {
+flatbuffers::Offset<BytesList> encodeRecords(Builder& builder,
+                                             const std::vector<std::string>& records) {
   std::vector<flatbuffers::Offset<fbs::Bytes>> offsets;
   offsets.reserve(records.size());
   for (const std::string& record : records) {
-    offsets.push_back(fbs::CreateBytes(builder, bytesOf(builder, record)));
+    offsets.push_back(fbs::CreateBytes(builder, encodeBytes(builder, record)));
   }
   return builder.CreateVector(offsets);
 }
 
-std::vector<std::string> textsOf(const BytesList* records) {
+std::vector<std::string> toTexts(const BytesList* records) {
   std::vector<std::string> texts;
   if (records != nullptr) {
     texts.reserve(records->size());
     for (const fbs::Bytes* const record : *records) {
-      texts.push_back(textOf(record->data()));
+      texts.push_back(toText(record->data()));
     }
   }
   return texts;
 }
 
-std::string finish(Builder& builder, fbs::Message type, flatbuffers::Offset<void> body) {
+std::string finishEnvelope(Builder& builder, fbs::Message type, flatbuffers::Offset<void> body) {
   fbs::FinishEnvelopeBuffer(builder, fbs::CreateEnvelope(builder, type, body));
   return {reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
 std::string finishReply(Builder& builder, fbs::StoreReplyBuilder& reply) {
   const auto offset = reply.Finish();
-  return finish(builder, fbs::Message::StoreReply, offset.Union());
+  return finishEnvelope(builder, fbs::Message::StoreReply, offset.Union());
 }
 
-const fbs::Envelope* verified(std::string_view bytes) {
+const fbs::Envelope* verifiedEnvelope(std::string_view bytes) {
   const auto* const begin = reinterpret_cast<const std::uint8_t*>(bytes.data());
   flatbuffers::Verifier verifier(begin, bytes.size());
   return fbs::VerifyEnvelopeBuffer(verifier) ? fbs::GetEnvelope(begin) : nullptr;
@@ -67,7 +67,7 @@
 std::string encode(const AppendRequest& request) {
   Builder builder;
   const auto topic = builder.CreateString(request.partition.topic);
-  const auto records = recordsOf(builder, request.records);
+  const auto records = encodeRecords(builder, request.records);
   fbs::StoreCallBuilder call(builder);
   call.add_kind(fbs::CallKind::Append);
   call.add_topic(topic);
@@ -75,7 +75,7 @@
   call.add_records(records);
   call.add_time_limit_us(static_cast<std::uint64_t>(request.timeLimit.count()));
   const auto offset = call.Finish();
-  return finish(builder, fbs::Message::StoreCall, offset.Union());
+  return finishEnvelope(builder, fbs::Message::StoreCall, offset.Union());
 }
 
 std::string encode(const ReadRequest& request) {
@@ -90,7 +90,7 @@
   call.add_time_limit_us(static_cast<std::uint64_t>(request.timeLimit.count()));
   call.add_changes_only(request.changesOnly);
   const auto offset = call.Finish();
-  return finish(builder, fbs::Message::StoreCall, offset.Union());
+  return finishEnvelope(builder, fbs::Message::StoreCall, offset.Union());
 }
 
 std::string encode(const NewestRequest& request) {
@@ -104,7 +104,7 @@
   call.add_after_key(after);
   call.add_time_limit_us(static_cast<std::uint64_t>(request.timeLimit.count()));
   const auto offset = call.Finish();
-  return finish(builder, fbs::Message::StoreCall, offset.Union());
+  return finishEnvelope(builder, fbs::Message::StoreCall, offset.Union());
 }
 
 std::string encode(const AppendReply& reply) {
@@ -117,7 +117,7 @@
 
 std::string encode(const ReadReply& reply) {
   Builder builder;
-  const auto records = recordsOf(builder, reply.records);
+  const auto records = encodeRecords(builder, reply.records);
   flatbuffers::Offset<flatbuffers::Vector<std::uint64_t>> offsets;
   if (reply.changes) {
     offsets = builder.CreateVector(reply.changes->offsets);
@@ -139,7 +139,7 @@
   items.reserve(reply.items.size());
   for (const KeyedItem& item : reply.items) {
     const auto key = builder.CreateString(item.key);
-    items.push_back(fbs::CreateItem(builder, key, bytesOf(builder, item.value), item.offset));
+    items.push_back(fbs::CreateItem(builder, key, encodeBytes(builder, item.value), item.offset));
   }
   const auto list = builder.CreateVector(items);
   fbs::StoreReplyBuilder message(builder);
@@ -149,7 +149,7 @@
   return finishReply(builder, message);
 }
 
-fbs::Outcome outcomeOf(StoreFault fault) {
+fbs::Outcome toOutcome(StoreFault fault) {
   switch (fault) {
     case StoreFault::NoAnswer:
       return fbs::Outcome::NoAnswer;
@@ -167,7 +167,7 @@
   return fbs::Outcome::Rejected;
 }
 
-StoreFault faultOf(fbs::Outcome outcome) {
+StoreFault toFault(fbs::Outcome outcome) {
   switch (outcome) {
     case fbs::Outcome::Busy:
       return StoreFault::Busy;
@@ -190,21 +190,21 @@
   Builder builder;
   const auto reason = builder.CreateString(error.reason);
   fbs::StoreReplyBuilder message(builder);
-  message.add_outcome(outcomeOf(error.fault));
+  message.add_outcome(toOutcome(error.fault));
   message.add_reason(reason);
   message.add_first_kept(error.firstKept);
   return finishReply(builder, message);
 }
 
-std::variant<const fbs::StoreReply*, StoreError> readReply(std::string_view bytes) {
-  const fbs::Envelope* const envelope = verified(bytes);
+std::variant<const fbs::StoreReply*, StoreError> parseReply(std::string_view bytes) {
+  const fbs::Envelope* const envelope = verifiedEnvelope(bytes);
   const fbs::StoreReply* const reply =
       envelope == nullptr ? nullptr : envelope->message_as_StoreReply();
   if (reply == nullptr) {
-    return StoreError{StoreFault::NoAnswer, "the relay's reply cannot be read", 0};
+    return StoreError{StoreFault::NoAnswer, "the relay's reply is malformed", 0};
   }
   if (reply->outcome() != fbs::Outcome::Done) {
-    return StoreError{faultOf(reply->outcome()), textOf(reply->reason()), reply->first_kept()};
+    return StoreError{toFault(reply->outcome()), toText(reply->reason()), reply->first_kept()};
   }
   return reply;
 }
@@ -220,19 +220,20 @@
   return request;
 }
 
-/// \return nothing where the reply has every offset in turn; an error where it contradicts itself.
-StoreResult<std::optional<RecordChanges>> changesOf(const fbs::StoreReply& reply,
-                                                    std::size_t records) {
+/// \return nothing when the reply has consecutive offsets; an error when its offsets are invalid.
+StoreResult<std::optional<RecordChanges>> parseChanges(const fbs::StoreReply& reply,
+                                                       std::size_t records) {
   if (reply.offsets() == nullptr) {
     return std::optional<RecordChanges>();
   }
   RecordChanges changes;
   changes.offsets.assign(reply.offsets()->begin(), reply.offsets()->end());
   changes.next = reply.next();
-  const bool rises = std::is_sorted(changes.offsets.begin(), changes.offsets.end());
+  const bool isSorted = std::is_sorted(changes.offsets.begin(), changes.offsets.end());
   const bool isBeforeNext = changes.offsets.empty() || changes.offsets.back() < changes.next;
-  if (changes.offsets.size() != records || !rises || !isBeforeNext) {
-    return StoreError{StoreFault::NoAnswer, "the offsets of the relay's reply do not fit", 0};
+  if (changes.offsets.size() != records || !isSorted || !isBeforeNext) {
+    return StoreError{StoreFault::NoAnswer,
+                      "the relay's reply has offsets out of order or not one per record", 0};
   }
   return std::optional(std::move(changes));
 }
@@ -248,28 +249,28 @@
 }
 
 Result<StoreCallRequest> decodeStoreCall(std::string_view bytes) {
-  const fbs::Envelope* const envelope = verified(bytes);
+  const fbs::Envelope* const envelope = verifiedEnvelope(bytes);
   const fbs::StoreCall* const call =
       envelope == nullptr ? nullptr : envelope->message_as_StoreCall();
   if (call == nullptr) {
-    return Error{ErrorKind::InvalidFrame, "store call", "the bytes are no store call",
+    return Error{ErrorKind::InvalidFrame, "store call", "malformed store call",
                  "run the same version on every node"};
   }
-  const PartitionAddress partition{textOf(call->topic()), call->partition()};
+  const PartitionAddress partition{toText(call->topic()), call->partition()};
   const auto timeLimit = Duration(static_cast<Duration::rep>(call->time_limit_us()));
   switch (call->kind()) {
     case fbs::CallKind::Append:
-      return StoreCallRequest{AppendRequest{partition, textsOf(call->records()), timeLimit}};
+      return StoreCallRequest{AppendRequest{partition, toTexts(call->records()), timeLimit}};
     case fbs::CallKind::Read:
       return StoreCallRequest{decodeRead(*call, partition, timeLimit)};
     case fbs::CallKind::Newest:
       break;
   }
-  return StoreCallRequest{NewestRequest{partition, textOf(call->after_key()), timeLimit}};
+  return StoreCallRequest{NewestRequest{partition, toText(call->after_key()), timeLimit}};
 }
 
 StoreResult<AppendReply> decodeAppendReply(std::string_view bytes) {
-  const auto read = readReply(bytes);
+  const auto read = parseReply(bytes);
   if (const auto* const error = std::get_if<StoreError>(&read)) {
     return *error;
   }
@@ -278,7 +279,7 @@
 }
 
 StoreResult<ReadReply> decodeReadReply(std::string_view bytes) {
-  const auto read = readReply(bytes);
+  const auto read = parseReply(bytes);
   if (const auto* const error = std::get_if<StoreError>(&read)) {
     return *error;
   }
@@ -286,8 +287,8 @@
   ReadReply decoded;
   decoded.end = reply->end();
   decoded.firstKept = reply->first_kept();
-  decoded.records = textsOf(reply->records());
-  auto changes = changesOf(*reply, decoded.records.size());
+  decoded.records = toTexts(reply->records());
+  auto changes = parseChanges(*reply, decoded.records.size());
   if (const auto* const error = std::get_if<StoreError>(&changes)) {
     return *error;
   }
@@ -296,7 +297,7 @@
 }
 
 StoreResult<NewestReply> decodeNewestReply(std::string_view bytes) {
-  const auto read = readReply(bytes);
+  const auto read = parseReply(bytes);
   if (const auto* const error = std::get_if<StoreError>(&read)) {
     return *error;
   }
@@ -306,7 +307,7 @@
   newest.hasMore = reply->has_more();
   if (reply->items() != nullptr) {
     for (const fbs::Item* const item : *reply->items()) {
-      newest.items.push_back({textOf(item->key()), textOf(item->value()), item->offset()});
+      newest.items.push_back({toText(item->key()), toText(item->value()), item->offset()});
     }
   }
   return newest;
--- a/src/logstore/store_message.h
+++ b/src/logstore/store_message.h
@@ -1,4 +1,4 @@
-/// \file Store calls between nodes: a node that cannot reach the store asks through another one.
+/// \file Wire format of store calls that one node relays for another that cannot reach the store.
 #pragma once
 
 #include <string>
@@ -18,8 +18,8 @@
 Result<StoreCallRequest> decodeStoreCall(std::string_view bytes);
 
 std::string encodeStoreReply(const StoreCallReply& reply);
-/// Decodes the reply of an append, a read or a listing. A reply that cannot be read counts as no
-/// answer.
+/// Decode the reply to an append, a read or a listing. A malformed reply yields `NoAnswer`, because
+/// the call may have been executed.
 StoreResult<AppendReply> decodeAppendReply(std::string_view bytes);
 StoreResult<ReadReply> decodeReadReply(std::string_view bytes);
 StoreResult<NewestReply> decodeNewestReply(std::string_view bytes);
--- a/src/logstore/topic_gateway.cpp
+++ b/src/logstore/topic_gateway.cpp
@@ -6,12 +6,13 @@
 namespace gorsetrail::logstore {
 namespace {
 
-/// \return the reply with an empty record at every offset that it leaves out.
-ReadReply withEveryOffset(const ReadReply& sparse, std::uint64_t start, std::size_t mostRecords) {
+/// \return the reply with an empty record at every omitted offset, cut to `maximumRecords`.
+ReadReply withEveryOffset(const ReadReply& sparse, std::uint64_t start,
+                          std::size_t maximumRecords) {
   ReadReply dense;
   dense.end = sparse.end;
   dense.firstKept = sparse.firstKept;
-  const std::uint64_t span = std::min<std::uint64_t>(sparse.changes->next - start, mostRecords);
+  const std::uint64_t span = std::min<std::uint64_t>(sparse.changes->next - start, maximumRecords);
   dense.records.resize(span);
   for (std::size_t index = 0; index < sparse.records.size(); ++index) {
     const std::uint64_t at = sparse.changes->offsets[index] - start;
@@ -35,7 +36,7 @@
       knobs_(knobs) {}
 
 void TopicGateway::read(const ReadRequest& request, StoreCallback<ReadReply> callback) {
-  await([this, request, callback = std::move(callback)](const StoreError* error) {
+  queueForNextRound([this, request, callback = std::move(callback)](const StoreError* error) {
     if (error != nullptr) {
       callback(*error);
     } else {
@@ -54,39 +55,40 @@
     }
   };
   if (request.afterKey.empty() || !copy_.isComplete()) {
-    await(std::move(answer));
+    queueForNextRound(std::move(answer));
     return;
   }
-  // Pages are no snapshot: who lists reads on from the first page's end, and only that must be
-  // new.
+  // Only the first page must be up to date: the requester then reads all changes from that page's
+  // end offset.
   timers_.runAfter(Duration::zero(), [answer = std::move(answer)] { answer(nullptr); });
 }
 
-void TopicGateway::await(Waiter waiter) {
+void TopicGateway::queueForNextRound(RoundCallback callback) {
   if (!copy_.isComplete()) {
     ++counters_.unlisted;
-    timers_.runAfter(Duration::zero(), [waiter = std::move(waiter)] {
-      const StoreError listing{StoreFault::Busy, "this node has not listed the topic yet", 0};
-      waiter(&listing);
+    timers_.runAfter(Duration::zero(), [callback = std::move(callback)] {
+      const StoreError notListed{StoreFault::Busy, "this node has not listed the topic yet", 0};
+      callback(&notListed);
     });
     return;
   }
-  waiting_.push_back(std::move(waiter));
-  if (!inRound_) {
+  nextRound_.push_back(std::move(callback));
+  if (!isRoundActive_) {
     scheduleRound();
   }
 }
 
 void TopicGateway::scheduleRound() {
-  inRound_ = true;
-  const Duration pause = std::max(Duration::zero(), lastRoundAt_ + knobs_.pause - clock_());
+  isRoundActive_ = true;
+  const Duration pause =
+      std::max(Duration::zero(), lastRoundAt_ + knobs_.minimumRoundInterval - clock_());
   timers_.runAfter(pause, [this] { startRound(); });
 }
 
 void TopicGateway::startRound() {
   lastRoundAt_ = clock_();
-  served_ = std::move(waiting_);
-  waiting_.clear();
+  currentRound_ = std::move(nextRound_);
+  nextRound_.clear();
   readNext();
 }
 
@@ -94,7 +96,7 @@
   ReadRequest request;
   request.partition = partition_;
   request.start = copy_.end();
-  request.timeLimit = knobs_.patience;
+  request.timeLimit = knobs_.readTimeout;
   request.changesOnly = true;
   const std::uint64_t start = request.start;
   store_.read(std::move(request),
@@ -108,14 +110,16 @@
   }
   const auto& reply = std::get<ReadReply>(result);
   if (reply.firstKept > start) {
-    const StoreError gone{StoreFault::Compacted, "records that were never read are gone",
-                          reply.firstKept};
-    endRound(&gone);
+    const StoreError dropped{
+        StoreFault::Compacted,
+        "the store dropped records that this node has not read; list the keys again",
+        reply.firstKept};
+    endRound(&dropped);
     return;
   }
-  // The node's own follower may have moved the copy on meanwhile: the records stand where they were
-  // asked from.
-  copy_.take(start, reply);
+  // The offsets count from the `start` of the request, not from `copy_.end()`: the node's own
+  // follower may have advanced the copy since.
+  copy_.applyReply(start, reply);
   const bool isBehind = copy_.end() < reply.end;
   if (isBehind && nextOffset(start, reply) > start) {
     readNext();
@@ -136,7 +140,8 @@
 StoreResult<ReadReply> TopicGateway::replyTo(const ReadRequest& request) {
   auto reply = copy_.changesSince(request.start, kMaximumReadBytes);
   if (!reply) {
-    return StoreError{StoreFault::NotKept, "these offsets are not kept here", 0};
+    return StoreError{StoreFault::NotKept,
+                      "this node does not cover the requested offset; list the keys again", 0};
   }
   ++counters_.changes;
   for (const std::string& record : reply->records) {
@@ -145,17 +150,17 @@
   if (request.changesOnly) {
     return std::move(*reply);
   }
-  return withEveryOffset(*reply, request.start, knobs_.mostRecords);
+  return withEveryOffset(*reply, request.start, knobs_.maximumDenseRecords);
 }
 
 void TopicGateway::endRound(const StoreError* error) {
-  const std::vector<Waiter> served = std::move(served_);
-  served_.clear();
-  inRound_ = false;
-  for (const Waiter& waiter : served) {
-    waiter(error);
+  const std::vector<RoundCallback> finishedRound = std::move(currentRound_);
+  currentRound_.clear();
+  isRoundActive_ = false;
+  for (const RoundCallback& callback : finishedRound) {
+    callback(error);
   }
-  if (!waiting_.empty() && !inRound_) {
+  if (!nextRound_.empty() && !isRoundActive_) {
     scheduleRound();
   }
 }
--- a/src/logstore/topic_gateway.h
+++ b/src/logstore/topic_gateway.h
@@ -1,4 +1,4 @@
-/// \file One reader for many: serves the reads of other nodes from few reads of its own.
+/// \file Serves reads of a keyed partition to other nodes from a shared copy, to save store reads.
 #pragma once
 
 #include <cstdint>
@@ -12,45 +12,46 @@
 
 namespace gorsetrail::logstore {
 
-/// Knobs of `TopicGateway`.
+/// Settings of `TopicGateway`.
 struct TopicGatewayKnobs {
-  Duration pause = milliseconds(200);  ///< Between two reads of the store.
-  Duration patience = milliseconds(600);
-  /// Records of a reply to a node that does not take replies with changes only.
-  std::size_t mostRecords = 20000;
+  Duration minimumRoundInterval = milliseconds(200);  ///< Between the starts of two rounds.
+  Duration readTimeout = milliseconds(600);
+  /// Maximum number of records in a reply to a node that does not accept `ReadReply::changes`.
+  std::size_t maximumDenseRecords = 20000;
 };
 
-/// What a gateway answered; all only rise.
+/// Monotonic counters of replies.
 struct TopicGatewayCounters {
   std::uint64_t changes = 0;   ///< Replies with changes.
   std::uint64_t pages = 0;     ///< Pages of the listing.
-  std::uint64_t bytes = 0;     ///< Of records and values in both.
-  std::uint64_t unlisted = 0;  ///< Refused, since this node has not listed the topic.
+  std::uint64_t bytes = 0;     ///< Size of the records, keys and values in both.
+  std::uint64_t unlisted = 0;  ///< Requests refused because this node has not listed the topic yet.
 };
 
-/// Keeps a node's copy of a keyed partition up to date while other nodes ask for it, and answers
-/// them from it. A question is answered after a read that began after it came, so the one who asks
-/// knows as much as after a read of its own. While the copy holds no listing yet, the answer is
-/// `Busy`: who asks comes again instead of listing the store itself.
+/// Updates a node's copy of a keyed partition on request, and serves other nodes from it. A request
+/// is answered after a round of store reads that started after its arrival, so the reply is as
+/// recent as a read of the requester's own. Until the copy has a listing, the reply is `Busy`, so
+/// that requesters retry here instead of listing the store.
 class TopicGateway {
  public:
-  /// \param store, timers, copy outlive this object.
+  /// \param store, timers, copy must outlive this object.
   TopicGateway(LogStore& store, services::TimerService& timers, ClockFunction clock,
                PartitionAddress partition, CompactedTopic& copy, TopicGatewayKnobs knobs);
 
-  /// Errors beside the store's: `NotKept` when records from so far back are not kept here.
+  /// Errors: those of the store, and `NotKept` when the copy does not cover the requested offset.
   void read(const ReadRequest& request, StoreCallback<ReadReply> callback);
-  /// A page of the listing. Errors: the store's.
+  /// Returns a page of the key listing. Later pages come from the copy without a store read.
+  /// Errors: those of the store.
   void newest(const NewestRequest& request, StoreCallback<NewestReply> callback);
 
   [[nodiscard]] const CompactedTopic& copy() const { return copy_; }
   [[nodiscard]] const TopicGatewayCounters& counters() const { return counters_; }
 
  private:
-  /// Told how a round ended; null: the copy is up to date.
-  using Waiter = std::function<void(const StoreError*)>;
+  /// Called at the end of a round; null when the copy is up to date.
+  using RoundCallback = std::function<void(const StoreError*)>;
 
-  void await(Waiter waiter);
+  void queueForNextRound(RoundCallback callback);
   void scheduleRound();
   void startRound();
   void readNext();
@@ -66,10 +67,10 @@
   CompactedTopic& copy_;
   TopicGatewayKnobs knobs_;
   TopicGatewayCounters counters_;
-  bool inRound_ = false;
+  bool isRoundActive_ = false;
   Instant lastRoundAt_;
-  std::vector<Waiter> waiting_;  ///< For the next round.
-  std::vector<Waiter> served_;   ///< By the round under way.
+  std::vector<RoundCallback> nextRound_;     ///< Served by the next round.
+  std::vector<RoundCallback> currentRound_;  ///< Served by the round in progress.
 };
 
 }  // namespace gorsetrail::logstore
--- a/tests/logstore/compacted_topic_test.cpp
+++ b/tests/logstore/compacted_topic_test.cpp
@@ -38,7 +38,7 @@
     copy.beginListing(end);
     copy.endListing();
   }
-  void readOn() { copy.take(copy.end(), readLog(copy.end())); }
+  void readOn() { copy.applyReply(copy.end(), readLog(copy.end())); }
 };
 
 TEST(CompactedTopic, answersNobodyBeforeItsListingIsWhole) {
@@ -147,7 +147,7 @@
   listNothing(0);
   ReadReply later;
   later.records = {encodeKeyedRecord("a", "1")};
-  copy.take(5, later);
+  copy.applyReply(5, later);
   LONGS_EQUAL(0, copy.end());
   LONGS_EQUAL(0, copy.keys());
 }
@@ -175,7 +175,7 @@
         put(key, "");
         truth.erase(key);
       } else if (what == 7) {
-        first.take(first.end(), readLog(first.end()));
+        first.applyReply(first.end(), readLog(first.end()));
       } else if (!secondListed) {
         secondListed = true;
         second.beginListing(first.end());
@@ -188,16 +188,16 @@
             after = item.key;
           }
           hasMore = page.hasMore;
-          first.take(first.end(), readLog(first.end()));
+          first.applyReply(first.end(), readLog(first.end()));
         }
         second.endListing();
       } else if (const auto news = first.changesSince(second.end(), 16)) {
-        second.take(second.end(), *news);
+        second.applyReply(second.end(), *news);
       }
     }
-    first.take(first.end(), readLog(first.end()));
+    first.applyReply(first.end(), readLog(first.end()));
     while (secondListed && second.end() < first.end()) {
-      second.take(second.end(), *first.changesSince(second.end(), 16));
+      second.applyReply(second.end(), *first.changesSince(second.end(), 16));
     }
     for (CompactedTopic* const one : {&first, &second}) {
       if (one == &second && !secondListed) {
@@ -223,14 +223,14 @@
   CompactedTopic second{sameBeforeHash};
   second.beginListing(0);
   second.endListing();
-  second.take(0, *copy.changesSince(0, kEverything));
+  second.applyReply(0, *copy.changesSince(0, kEverything));
   // The history went, and with it the records of three changes.
   log.resize(10);
   copy.beginListing(10);
   copy.addListed({"a", "2", 5});
   copy.addListed({"b", "2", 6});
   copy.endListing();
-  second.take(3, *copy.changesSince(3, kEverything));
+  second.applyReply(3, *copy.changesSince(3, kEverything));
   const NewestReply page = second.page({}, kEverything);
   LONGS_EQUAL(2, page.items.size());
   STRCMP_EQUAL("2", page.items[0].value.c_str());
--- a/tests/logstore/topic_gateway_test.cpp
+++ b/tests/logstore/topic_gateway_test.cpp
@@ -195,7 +195,7 @@
 }
 
 TEST(TopicGateway, aNodeOfAnEarlierBuildThatIsFarBehindGetsAPart) {
-  knobs.mostRecords = 5;
+  knobs.maximumDenseRecords = 5;
   setup();
   listOwn();
   for (int number = 0; number < 20; ++number) {
@@ -230,7 +230,7 @@
   }
   ReadReply fromAnother;
   fromAnother.records = {log.logs[partition][0], log.logs[partition][1]};
-  copy->take(0, fromAnother);
+  copy->applyReply(0, fromAnother);
   timers.advance(seconds(1));  // The read's reply brings both once more.
   put("c", "1");
   const ReadReply all = std::get<ReadReply>(readFrom(0));
