--- a/tests/logstore/append_batcher_test.cpp
+++ b/tests/logstore/append_batcher_test.cpp
@@ -1,4 +1,4 @@
-// Group commit: how many appends records of many callers need, and what each caller is told.
+// Guards against lost, reordered or needlessly separate appends when callers share a batch.
 #include "logstore/append_batcher.h"
 
 #include <CppUTest/TestHarness.h>
@@ -31,7 +31,7 @@
   }
 };
 
-TEST(AppendBatcher, recordsOfOneWindowShareAnAppendAndKeepTheirOrder) {
+TEST(AppendBatcher, combinesRecordsOfOneWindowIntoOneAppendInOrder) {
   AppendBatcher batcher = make();
   append(batcher, "a", milliseconds(10));
   timers.advance(milliseconds(5));
@@ -44,7 +44,7 @@
   CHECK(log.logs[address] == (std::vector<std::string>{"a", "b"}));
 }
 
-TEST(AppendBatcher, aShorterWindowTakesTheWaitingOnesAlong) {
+TEST(AppendBatcher, shorterWindowFlushesAllPendingRecords) {
   AppendBatcher batcher = make();
   append(batcher, "patient", milliseconds(300));
   append(batcher, "urgent", milliseconds(2));
@@ -54,7 +54,7 @@
   LONGS_EQUAL(1, log.appends);
 }
 
-TEST(AppendBatcher, aSlowStoreGetsOneAppendAtATimeWithAllThatCameMeanwhile) {
+TEST(AppendBatcher, hasAtMostOneAppendInFlightWhenTheStoreIsSlow) {
   AppendBatcher batcher = make();
   log.latency = milliseconds(200);
   for (int number = 0; number < 20; ++number) {
@@ -67,7 +67,7 @@
   LONGS_EQUAL(19, offsets.back());
 }
 
-TEST(AppendBatcher, aFailureIsToldToEveryCallerOfTheBatchAndTheNextBatchGoesOn) {
+TEST(AppendBatcher, reportsAFailureToEveryCallerOfTheBatchAndContinues) {
   AppendBatcher batcher = make();
   log.fault = FakeFault::Busy;
   append(batcher, "a", milliseconds(1));
@@ -80,7 +80,7 @@
   LONGS_EQUAL(1, offsets.size());
 }
 
-TEST(AppendBatcher, aFullBatchIsFollowedAtOnceByTheRest) {
+TEST(AppendBatcher, sendsTheRestAtOnceAfterAFullBatch) {
   knobs.maximumBatchBytes = 100;
   AppendBatcher batcher = make();
   for (int number = 0; number < 3; ++number) {
--- a/tests/logstore/compacted_topic_test.cpp
+++ b/tests/logstore/compacted_topic_test.cpp
@@ -1,4 +1,4 @@
-// A copy of a keyed partition answers as the partition itself would, at the cost of its changes.
+// Guards against a copy of a keyed partition that misses changes or returns stale values.
 #include "logstore/compacted_topic.h"
 
 #include <map>
@@ -15,7 +15,7 @@
 
 constexpr std::size_t kEverything = std::size_t{1} << 30U;
 
-bool sameBeforeHash(const std::string& older, const std::string& newer) {
+bool isEqualUpToHash(const std::string& older, const std::string& newer) {
   return older.substr(0, older.find('#')) == newer.substr(0, newer.find('#'));
 }
 
@@ -23,7 +23,7 @@
 
 TEST_GROUP(CompactedTopic) {
   std::vector<std::string> log;
-  CompactedTopic copy{sameBeforeHash};
+  CompactedTopic copy{isEqualUpToHash};
 
   void put(const std::string& key, const std::string& value) {
     log.push_back(encodeKeyedRecord(key, value));
@@ -41,7 +41,7 @@
   void readOn() { copy.applyReply(copy.end(), readLog(copy.end())); }
 };
 
-TEST(CompactedTopic, answersNobodyBeforeItsListingIsWhole) {
+TEST(CompactedTopic, returnsNoChangesBeforeAListingIsComplete) {
   copy.beginListing(0);
   CHECK_FALSE(copy.isComplete());
   CHECK_FALSE(copy.changesSince(0, kEverything).has_value());
@@ -49,12 +49,12 @@
   CHECK_TRUE(copy.changesSince(0, kEverything).has_value());
 }
 
-TEST(CompactedTopic, leavesHeartbeatsOutAndTellsWhereToGoOn) {
+TEST(CompactedTopic, omitsHeartbeatsAndReturnsTheNextOffset) {
   listNothing(0);
   put("a", "ready#1");
   put("b", "ready#1");
-  for (int beat = 2; beat < 1000; ++beat) {
-    put("a", "ready#" + std::to_string(beat));
+  for (int heartbeat = 2; heartbeat < 1000; ++heartbeat) {
+    put("a", "ready#" + std::to_string(heartbeat));
   }
   readOn();
   const ReadReply all = *copy.changesSince(0, kEverything);
@@ -62,13 +62,13 @@
   LONGS_EQUAL(log.size(), all.changes->next);
   put("b", "draining#2");
   readOn();
-  const ReadReply news = *copy.changesSince(all.changes->next, kEverything);
-  LONGS_EQUAL(1, news.records.size());
-  STRCMP_EQUAL("draining#2", decodeKeyedRecord(news.records.front()).second.c_str());
+  const ReadReply update = *copy.changesSince(all.changes->next, kEverything);
+  LONGS_EQUAL(1, update.records.size());
+  STRCMP_EQUAL("draining#2", decodeKeyedRecord(update.records.front()).second.c_str());
 }
 
-TEST(CompactedTopic, passesOnEachChangeOfAKeyWhileTheyAreFew) {
-  copy = CompactedTopic(sameBeforeHash, {10, 3});
+TEST(CompactedTopic, returnsEveryChangeOfAKeyUntilTheLimitIsReached) {
+  copy = CompactedTopic(isEqualUpToHash, {10, 3});
   listNothing(0);
   for (const char* value : {"ready", "draining", "ready"}) {
     put("a", value);
@@ -79,24 +79,25 @@
   STRCMP_EQUAL("draining", decodeKeyedRecord(each.records[1]).second.c_str());
   put("b", "ready");
   readOn();
-  LONGS_EQUAL(2, copy.changesSince(0, kEverything)->records.size());  // The newest of each key.
+  // Individual changes from offset 0 are evicted, so only the latest value of each key remains.
+  LONGS_EQUAL(2, copy.changesSince(0, kEverything)->records.size());
   LONGS_EQUAL(3, copy.changesSince(1, kEverything)->records.size());
 }
 
-TEST(CompactedTopic, tellsOfRemovedKeysToThoseWhoWereAway) {
+TEST(CompactedTopic, returnsRemovedKeysToLaggingFollowers) {
   listNothing(0);
   put("a", "1");
   readOn();
   put("a", "");
   readOn();
-  const ReadReply news = *copy.changesSince(1, kEverything);
-  LONGS_EQUAL(1, news.records.size());
-  STRCMP_EQUAL("", decodeKeyedRecord(news.records.front()).second.c_str());
+  const ReadReply update = *copy.changesSince(1, kEverything);
+  LONGS_EQUAL(1, update.records.size());
+  STRCMP_EQUAL("", decodeKeyedRecord(update.records.front()).second.c_str());
   LONGS_EQUAL(0, copy.page({}, kEverything).items.size());
 }
 
-TEST(CompactedTopic, forgetsTheOldestRemovedKeysAndSaysSo) {
-  copy = CompactedTopic(sameBeforeHash, {10, 0});
+TEST(CompactedTopic, refusesOffsetsBeforeEvictedTombstones) {
+  copy = CompactedTopic(isEqualUpToHash, {10, 0});
   listNothing(0);
   for (int number = 0; number < 20; ++number) {
     put("k" + std::to_string(number), "v");
@@ -107,43 +108,43 @@
   CHECK_TRUE(copy.changesSince(log.size() - 2, kEverything).has_value());
 }
 
-TEST(CompactedTopic, aListingThatReplacesALostHistoryPassesOnWhatDiffers) {
+TEST(CompactedTopic, returnsChangesFoundByAListingAfterRecordsWereDropped) {
   listNothing(0);
   put("stays", "1");
   put("changes", "1");
   put("goes", "1");
   readOn();
-  // The history went: these were written and dropped before anybody read them.
+  // The next records are written and dropped before they are read.
   log.resize(10);
   copy.beginListing(10);
   copy.addListed({"stays", "1", 5});
   copy.addListed({"changes", "2", 6});
   copy.endListing();
-  std::map<std::string, std::string> told;
-  const ReadReply news = *copy.changesSince(3, kEverything);
-  for (const std::string& record : news.records) {
+  std::map<std::string, std::string> received;
+  const ReadReply update = *copy.changesSince(3, kEverything);
+  for (const std::string& record : update.records) {
     const auto [key, value] = decodeKeyedRecord(record);
-    told[key] = value;
+    received[key] = value;
   }
-  LONGS_EQUAL(2, told.size());
-  STRCMP_EQUAL("2", told.at("changes").c_str());
-  STRCMP_EQUAL("", told.at("goes").c_str());
-  LONGS_EQUAL(10, news.changes->next);
+  LONGS_EQUAL(2, received.size());
+  STRCMP_EQUAL("2", received.at("changes").c_str());
+  STRCMP_EQUAL("", received.at("goes").c_str());
+  LONGS_EQUAL(10, update.changes->next);
 }
 
-TEST(CompactedTopic, whatALaterPageBroughtIsStillToldToThoseWhoReadOn) {
+TEST(CompactedTopic, returnsAChangeThatALaterListingPageAlreadyContained) {
   put("a", "1");
   copy.beginListing(1);
   put("a", "2");
   copy.addListed({"a", "2", 1});  // The page was made after the change.
   copy.endListing();
   readOn();
-  const ReadReply news = *copy.changesSince(1, kEverything);
-  LONGS_EQUAL(1, news.records.size());
-  STRCMP_EQUAL("2", decodeKeyedRecord(news.records.front()).second.c_str());
+  const ReadReply update = *copy.changesSince(1, kEverything);
+  LONGS_EQUAL(1, update.records.size());
+  STRCMP_EQUAL("2", decodeKeyedRecord(update.records.front()).second.c_str());
 }
 
-TEST(CompactedTopic, aReplyThatBeginsBehindItsEndIsPassedOver) {
+TEST(CompactedTopic, ignoresAReplyThatStartsAfterItsEnd) {
   listNothing(0);
   ReadReply later;
   later.records = {encodeKeyedRecord("a", "1")};
@@ -152,15 +153,15 @@
   LONGS_EQUAL(0, copy.keys());
 }
 
-// Chains of copies that list and follow each other, under changes, removals and lost histories: at
-// rest each copy holds what the log does.
-TEST(CompactedTopic, copiesOfCopiesEndAlike) {
+// Guards against lost or stale keys when one copy lists and follows another during random changes
+// and removals.
+TEST(CompactedTopic, chainedCopiesConvergeToTheLog) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     RandomSource random(seed);
     log.clear();
     std::map<std::string, std::string> truth;
-    CompactedTopic first{sameBeforeHash};
-    CompactedTopic second{sameBeforeHash};
+    CompactedTopic first{isEqualUpToHash};
+    CompactedTopic second{isEqualUpToHash};
     first.beginListing(0);
     first.endListing();
     bool secondListed = false;
@@ -191,8 +192,8 @@
           first.applyReply(first.end(), readLog(first.end()));
         }
         second.endListing();
-      } else if (const auto news = first.changesSince(second.end(), 16)) {
-        second.applyReply(second.end(), *news);
+      } else if (const auto update = first.changesSince(second.end(), 16)) {
+        second.applyReply(second.end(), *update);
       }
     }
     first.applyReply(first.end(), readLog(first.end()));
@@ -213,18 +214,18 @@
   }
 }
 
-// What a listing found to differ stands at one offset: a copy of a copy takes all of it.
-TEST(CompactedTopic, aCopyOfACopyTakesAllThatAListingChanged) {
+// Guards against losing changes that share one offset, as those found by a listing do.
+TEST(CompactedTopic, chainedCopyAppliesAllChangesFoundByAListing) {
   listNothing(0);
   for (const char* key : {"a", "b", "c"}) {
     put(key, "1");
   }
   readOn();
-  CompactedTopic second{sameBeforeHash};
+  CompactedTopic second{isEqualUpToHash};
   second.beginListing(0);
   second.endListing();
   second.applyReply(0, *copy.changesSince(0, kEverything));
-  // The history went, and with it the records of three changes.
+  // The records of three changes are written and dropped before they are read.
   log.resize(10);
   copy.beginListing(10);
   copy.addListed({"a", "2", 5});
--- a/tests/logstore/failover_store_test.cpp
+++ b/tests/logstore/failover_store_test.cpp
@@ -1,4 +1,4 @@
-// The relay is taken while the direct way fails, and left when it works again.
+// Guards against staying on a failing direct route, and against needless use of the relay.
 #include "logstore/failover_store.h"
 
 #include <CppUTest/TestHarness.h>
@@ -26,7 +26,7 @@
   }
 };
 
-TEST(FailoverStore, staysDirectWhileThatWorks) {
+TEST(FailoverStore, staysDirectWhileTheStoreIsReachable) {
   for (int number = 0; number < 5; ++number) {
     call();
   }
@@ -35,7 +35,7 @@
   CHECK_TRUE(store.isDirect());
 }
 
-TEST(FailoverStore, goesThroughAnotherNodeWhenTheStoreIsOutOfReach) {
+TEST(FailoverStore, switchesToTheRelayWhenTheStoreIsUnreachable) {
   direct.fault = FakeFault::Silent;
   for (int number = 0; number < 12; ++number) {
     call();
@@ -54,7 +54,7 @@
   LONGS_EQUAL(0, relay.appends);
 }
 
-TEST(FailoverStore, comesBackWhenTheStoreIsInReachAgain) {
+TEST(FailoverStore, switchesBackWhenTheStoreIsReachableAgain) {
   direct.fault = FakeFault::Silent;
   for (int number = 0; number < 8; ++number) {
     call();
--- a/tests/logstore/fake_log_store.h
+++ b/tests/logstore/fake_log_store.h
@@ -1,4 +1,4 @@
-/// \file An in-memory log store with faults, and virtual time, for tests of what stands on it.
+/// \file In-memory log store with fault injection and virtual time, for tests of store clients.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace gorsetrail::logstore {
 
-/// Virtual time: work runs in the order of its moments, those of one moment in the order asked.
+/// Timers in virtual time. Work runs in order of due time; equal times run in scheduling order.
 class FakeTimers final : public services::TimerService {
  public:
   void runAfter(Duration delay, std::function<void()> work) override {
@@ -36,15 +36,15 @@
   std::multimap<Instant, std::function<void()>> queue_;
 };
 
-/// What happens to the next calls.
+/// Fault injected into the next calls.
 enum class FakeFault : std::uint8_t {
   None,
-  Silent,     ///< Nothing is done, nobody answers: the call's time runs out.
-  LostReply,  ///< It is done and not answered.
-  Busy,       ///< 503.
+  Silent,     ///< Not executed and not answered: the call times out.
+  LostReply,  ///< Executed, but the reply is lost: the call times out.
+  Busy,       ///< Refused, as with HTTP status 503.
 };
 
-/// Answers after `latency`. An append stands from the moment it is answered (or lost).
+/// Answers after `latency`. An append takes effect when it is answered or its reply is lost.
 class FakeLogStore final : public LogStore {
  public:
   explicit FakeLogStore(FakeTimers& timers) : timers_(timers) {}
--- a/tests/logstore/keyed_topic_follower_test.cpp
+++ b/tests/logstore/keyed_topic_follower_test.cpp
@@ -1,4 +1,4 @@
-// A follower ends with the newest value of every key, through pages, gaps and silence.
+// Guards against missed changes and stale values through paged listings and store outages.
 #include "logstore/keyed_topic_follower.h"
 
 #include <CppUTest/TestHarness.h>
@@ -16,7 +16,7 @@
   FakeLogStore store{timers};
   const PartitionAddress partition{"keyed.x", 0};
   std::map<std::string, std::string> known;
-  int stale = 0;
+  int failures = 0;
   std::shared_ptr<KeyedTopicFollower> follower;
 
   void start() {
@@ -35,7 +35,7 @@
       }
     };
     observer.onFresh = [](Instant) {};
-    observer.onStale = [this](const StoreError&) { ++stale; };
+    observer.onStale = [this](const StoreError&) { ++failures; };
     follower = std::make_shared<KeyedTopicFollower>(
         store, timers, [this] { return timers.now; }, partition, KeyedTopicFollowerKnobs{},
         observer);
@@ -46,8 +46,8 @@
   }
 };
 
-TEST(KeyedTopicFollower, aListingThatTheStoreTakesLongForStillEnds) {
-  // All nodes of a large fleet start at once and list: the store sends them one after the other.
+TEST(KeyedTopicFollower, completesAListingThatTheStoreAnswersSlowly) {
+  // When all nodes of a large fleet start at once, the store answers their listings slowly.
   store.latency = milliseconds(900);
   put("a", "1");
   start();
@@ -70,13 +70,13 @@
   STRCMP_EQUAL("2", known["b"].c_str());
 }
 
-TEST(KeyedTopicFollower, missesNothingThatChangesWhileItLists) {
+TEST(KeyedTopicFollower, readsChangesMadeDuringTheListing) {
   store.page = 1;
   put("a", "1");
   put("b", "1");
   put("c", "1");
   start();
-  timers.advance(milliseconds(5));  // The first page is in.
+  timers.advance(milliseconds(5));  // The first page has arrived.
   put("a", "2");
   put("b", "");
   timers.advance(seconds(2));
@@ -84,20 +84,20 @@
   LONGS_EQUAL(0, known.count("b"));
 }
 
-TEST(KeyedTopicFollower, goesOnAfterASilence) {
+TEST(KeyedTopicFollower, resumesAfterAnOutage) {
   put("a", "1");
   start();
   timers.advance(seconds(1));
   store.fault = FakeFault::Silent;
   timers.advance(seconds(3));
-  CHECK(stale > 0);
+  CHECK(failures > 0);
   put("a", "2");
   store.fault = FakeFault::None;
   timers.advance(seconds(2));
   STRCMP_EQUAL("2", known["a"].c_str());
 }
 
-TEST(KeyedTopicFollower, asksAtOnceWhenToldThatSomebodyCanAnswer) {
+TEST(KeyedTopicFollower, retryNowEndsAPauseOnlyAfterAFailure) {
   put("a", "1");
   store.fault = FakeFault::Busy;
   start();
@@ -107,7 +107,7 @@
   timers.advance(milliseconds(10));
   LONGS_EQUAL(1, known.size());
   const int reads = store.reads;
-  follower->retryNow();  // Nothing failed: the pause stands.
+  follower->retryNow();  // No call failed, so the pause is not shortened.
   timers.advance(milliseconds(10));
   LONGS_EQUAL(reads, store.reads);
 }
--- a/tests/logstore/persistent_store_test.cpp
+++ b/tests/logstore/persistent_store_test.cpp
@@ -1,4 +1,4 @@
-// Calls are made again until answered; slow is not dead; a dead store is told soon.
+// Guards against lost calls, needless retries to a slow store, and late detection of outages.
 #include "logstore/persistent_store.h"
 
 #include <CppUTest/TestHarness.h>
@@ -24,7 +24,7 @@
   bool appended() { return result && std::holds_alternative<AppendReply>(*result); }
 };
 
-TEST(PersistentStore, answersOnceAndCallsOnceWhenAllIsWell) {
+TEST(PersistentStore, makesOneCallWhenTheStoreAnswersInTime) {
   append(seconds(1));
   timers.advance(seconds(2));
   CHECK_TRUE(appended());
@@ -32,14 +32,14 @@
   LONGS_EQUAL(1, direct.logs[partition].size());
 }
 
-TEST(PersistentStore, findsALostAnswerLongBeforeTheTimeLimit) {
+TEST(PersistentStore, retriesALostReplyLongBeforeTheTimeLimit) {
   direct.fault = FakeFault::LostReply;
   append(seconds(4));
   timers.advance(milliseconds(10));
   direct.fault = FakeFault::None;
   timers.advance(milliseconds(100));
   CHECK_TRUE(appended());
-  // It stands twice: what is appended through here must bear that.
+  // Both attempts were executed, so the record is in the log twice.
   LONGS_EQUAL(2, direct.logs[partition].size());
 }
 
@@ -59,7 +59,7 @@
   LONGS_EQUAL(1, direct.appends - before);
 }
 
-TEST(PersistentStore, triesAgainAfterARefusalWithGrowingPauses) {
+TEST(PersistentStore, retriesARefusalWithBackoff) {
   direct.fault = FakeFault::Busy;
   append(seconds(2));
   timers.advance(seconds(1));
@@ -71,7 +71,7 @@
   CHECK_TRUE(appended());
 }
 
-TEST(PersistentStore, givesUpAtTheTimeLimitAndSaysWhy) {
+TEST(PersistentStore, returnsTheLastErrorAtTheTimeLimit) {
   direct.fault = FakeFault::Busy;
   append(milliseconds(500));
   timers.advance(seconds(2));
@@ -79,7 +79,7 @@
   CHECK(std::get<StoreError>(*result).fault == StoreFault::Busy);
 }
 
-TEST(PersistentStore, tellsADeadStoreAndARegainedOne) {
+TEST(PersistentStore, detectsAnOutageAndItsEnd) {
   CHECK_TRUE(store.answers(partition));
   direct.fault = FakeFault::Busy;
   append(seconds(3));
@@ -90,7 +90,7 @@
   CHECK_TRUE(store.answers(partition));
 }
 
-TEST(PersistentStore, doesNotGiveAllPartitionsUpForOne) {
+TEST(PersistentStore, failuresOfOnePartitionDoNotAffectOthers) {
   const PartitionAddress other{"t", 4};
   direct.fault = FakeFault::Busy;
   append(milliseconds(100));
--- a/tests/logstore/store_message_test.cpp
+++ b/tests/logstore/store_message_test.cpp
@@ -1,4 +1,4 @@
-// Store calls between nodes keep every field; broken bytes are found.
+// Guards against fields lost in encoding, and against accepting malformed messages.
 #include "logstore/store_message.h"
 
 #include <CppUTest/TestHarness.h>
@@ -8,7 +8,7 @@
 
 TEST_GROUP(StoreMessage){};
 
-TEST(StoreMessage, callsKeepTheirFields) {
+TEST(StoreMessage, requestsKeepTheirFields) {
   const std::string binary("\0\xff\n", 3);
   const auto append =
       decodeStoreCall(encodeStoreCall(AppendRequest{{"t", 5}, {"one", binary}, milliseconds(7)}));
@@ -38,14 +38,14 @@
   STRCMP_EQUAL("v", std::get<NewestReply>(newest).items.front().value.c_str());
 }
 
-TEST(StoreMessage, errorsArriveAsErrors) {
+TEST(StoreMessage, errorsAreDecodedAsErrors) {
   const auto reply =
       decodeReadReply(encodeStoreReply(StoreError{StoreFault::Compacted, "410", 12}));
   CHECK(std::get<StoreError>(reply).fault == StoreFault::Compacted);
   LONGS_EQUAL(12, std::get<StoreError>(reply).firstKept);
 }
 
-TEST(StoreMessage, brokenBytesAreNoAnswerAndNoCall) {
+TEST(StoreMessage, rejectsMalformedMessages) {
   const std::string whole = encodeStoreCall(AppendRequest{{"t", 5}, {"one"}, milliseconds(7)});
   for (std::size_t length = 0; length < whole.size(); length += 3) {
     CHECK_FALSE(succeeded(decodeStoreCall(whole.substr(0, length))));
--- a/tests/logstore/topic_gateway_test.cpp
+++ b/tests/logstore/topic_gateway_test.cpp
@@ -1,4 +1,4 @@
-// Many followers behind one reader: what they get, and how many reads the store gets.
+// Guards against followers that miss changes behind a gateway, and against extra store reads.
 #include "logstore/topic_gateway.h"
 
 #include <CppUTest/TestHarness.h>
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Reads go through the gateway. Its own node lists the store, all others list the gateway.
+/// Sends reads to the gateway, and listings to the store or the gateway as `listsStore` says.
 class GatewayStore final : public LogStore {
  public:
   GatewayStore(LogStore& store, TopicGateway& gateway) : store_(store), gateway_(gateway) {}
@@ -51,7 +51,7 @@
   std::unique_ptr<GatewayStore> store;
   std::vector<std::shared_ptr<KeyedTopicFollower>> followers;
   std::vector<std::map<std::string, std::string>> views;
-  int news = 0;
+  int receivedRecords = 0;
 
   void setup() override {
     copy = std::make_unique<CompactedTopic>([](const std::string& older, const std::string& newer) {
@@ -61,8 +61,8 @@
         log, timers, [this] { return timers.now; }, partition, *copy, knobs);
     store = std::make_unique<GatewayStore>(log, *gateway);
   }
-  /// The gateway's own node lists the store and follows through its gateway.
-  void listOwn() {
+  /// Adds a follower that fills the gateway's copy: it lists the store and reads the gateway.
+  void startOwnFollower() {
     store->listsStore = true;
     follow(1, copy.get());
     timers.advance(seconds(1));
@@ -76,7 +76,7 @@
     for (std::size_t index = views.size() - count; index < views.size(); ++index) {
       KeyedTopicObserver observer;
       observer.onRecord = [this, index](const std::string& key, const std::string& value) {
-        ++news;
+        ++receivedRecords;
         views[index][key] = value;
       };
       observer.onListed = [](const std::vector<std::string>&) {};
@@ -90,16 +90,17 @@
     }
   }
   StoreResult<ReadReply> readFrom(std::uint64_t start) {
-    StoreResult<ReadReply> got;
-    gateway->read({partition, start}, [&got](StoreResult<ReadReply> result) { got = result; });
+    StoreResult<ReadReply> outcome;
+    gateway->read({partition, start},
+                  [&outcome](StoreResult<ReadReply> result) { outcome = result; });
     timers.advance(seconds(1));
-    return got;
+    return outcome;
   }
 };
 
-TEST(TopicGateway, manyFollowersCostTheStoreAsMuchAsOne) {
+TEST(TopicGateway, storeReadsDoNotGrowWithTheNumberOfFollowers) {
   put("a", "1");
-  listOwn();
+  startOwnFollower();
   follow(50);
   timers.advance(seconds(2));
   const int before = log.reads;
@@ -113,17 +114,17 @@
   }
 }
 
-TEST(TopicGateway, recordsWithoutNewsAreNotPassedOnAndNothingElseIsLost) {
+TEST(TopicGateway, omitsUnchangedRecordsAndNothingElse) {
   put("a", "ready#1");
-  listOwn();
+  startOwnFollower();
   follow(3);
   timers.advance(seconds(1));
-  news = 0;
-  for (int beat = 2; beat < 20; ++beat) {
-    put("a", "ready#" + std::to_string(beat));
+  receivedRecords = 0;
+  for (int heartbeat = 2; heartbeat < 20; ++heartbeat) {
+    put("a", "ready#" + std::to_string(heartbeat));
     timers.advance(milliseconds(400));
   }
-  LONGS_EQUAL(0, news);
+  LONGS_EQUAL(0, receivedRecords);
   put("a", "leaving#20");
   put("b", "ready#1");
   timers.advance(seconds(1));
@@ -137,7 +138,7 @@
   }
 }
 
-TEST(TopicGateway, asksToComeAgainUntilItsOwnNodeHasListed) {
+TEST(TopicGateway, isBusyUntilItsOwnNodeHasListed) {
   put("a", "1");
   CHECK(std::get<StoreError>(readFrom(0)).fault == StoreFault::Busy);
   LONGS_EQUAL(0, log.reads);
@@ -148,10 +149,10 @@
   CHECK(std::get<StoreError>(*listed).fault == StoreFault::Busy);
 }
 
-TEST(TopicGateway, answersWithWhatStoodInTheLogWhenItWasAsked) {
+TEST(TopicGateway, replyIncludesAllRecordsAppendedBeforeTheRequest) {
   put("a", "1");
-  listOwn();
-  followers.clear();  // Nobody else asks.
+  startOwnFollower();
+  followers.clear();  // No other requests remain.
   log.latency = milliseconds(50);
   readFrom(1);
   std::optional<std::uint64_t> end;
@@ -159,7 +160,7 @@
     end = std::get<ReadReply>(result).end;
   });
   timers.advance(milliseconds(10));
-  // A read is under way; a later question must not be answered by it.
+  // A read is in progress; it must not answer a later request.
   put("a", "2");
   std::optional<std::uint64_t> later;
   gateway->read({partition, 1}, [&later](const StoreResult<ReadReply>& result) {
@@ -170,19 +171,19 @@
   LONGS_EQUAL(2, *later);
 }
 
-TEST(TopicGateway, offsetsThatAreNotKeptAreRefused) {
+TEST(TopicGateway, refusesOffsetsThatTheCopyDoesNotCover) {
   for (int number = 0; number < 20; ++number) {
     put("k" + std::to_string(number), "v");
   }
-  listOwn();
-  // What stood before its listing it knows by key only.
+  startOwnFollower();
+  // For offsets before the listing the copy has only the latest values.
   CHECK(std::get<StoreError>(readFrom(3)).fault == StoreFault::NotKept);
   LONGS_EQUAL(0, std::get<ReadReply>(readFrom(20)).records.size());
   CHECK(std::get<StoreError>(readFrom(21)).fault == StoreFault::NotKept);
 }
 
-TEST(TopicGateway, aNodeOfAnEarlierBuildGetsEveryOffsetInTurn) {
-  listOwn();
+TEST(TopicGateway, repliesWithEveryOffsetToAnEarlierVersion) {
+  startOwnFollower();
   put("a", "ready#1");
   put("a", "ready#2");
   put("b", "ready#1");
@@ -194,10 +195,10 @@
   STRCMP_EQUAL("b", decodeKeyedRecord(reply.records[2]).first.c_str());
 }
 
-TEST(TopicGateway, aNodeOfAnEarlierBuildThatIsFarBehindGetsAPart) {
+TEST(TopicGateway, limitsTheRecordsOfAReplyToAnEarlierVersion) {
   knobs.maximumDenseRecords = 5;
   setup();
-  listOwn();
+  startOwnFollower();
   for (int number = 0; number < 20; ++number) {
     put("k" + std::to_string(number), "v");
   }
@@ -206,9 +207,9 @@
   LONGS_EQUAL(20, reply.end);
 }
 
-TEST(TopicGateway, passesOnThatTheStoreDoesNotAnswer) {
+TEST(TopicGateway, returnsTheErrorOfTheStore) {
   put("a", "1");
-  listOwn();
+  startOwnFollower();
   log.fault = FakeFault::Busy;
   CHECK(std::get<StoreError>(readFrom(1)).fault == StoreFault::Busy);
   log.fault = FakeFault::None;
@@ -216,10 +217,10 @@
   LONGS_EQUAL(1, std::get<ReadReply>(readFrom(1)).records.size());
 }
 
-// The node's own follower may get records by way of another reader while its gateway reads: what
-// the gateway gets must not be taken for the records that follow.
+// Guards against wrong offsets when the node's own follower advances the copy while the gateway
+// waits for a read.
 TEST(TopicGateway, aCopyThatMovesOnDuringAReadMissesNothing) {
-  listOwn();
+  startOwnFollower();
   followers.clear();
   log.latency = milliseconds(50);
   put("a", "1");
@@ -231,7 +232,7 @@
   ReadReply fromAnother;
   fromAnother.records = {log.logs[partition][0], log.logs[partition][1]};
   copy->applyReply(0, fromAnother);
-  timers.advance(seconds(1));  // The read's reply brings both once more.
+  timers.advance(seconds(1));  // The reply to the gateway contains both records again.
   put("c", "1");
   const ReadReply all = std::get<ReadReply>(readFrom(0));
   LONGS_EQUAL(3, all.records.size());
