--- a/src/base/base64.cpp
+++ b/src/base/base64.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kGroupBytes = 3;
 constexpr std::size_t kGroupCharacters = 4;
 constexpr std::size_t kMaximumPadding = 2;
-/// OpenSSL takes lengths as `int`; the largest bundle is far below.
+/// OpenSSL takes lengths as `int`, so longer texts are rejected.
 constexpr std::size_t kMaximumLength = std::numeric_limits<int>::max() / 2;
 
 const unsigned char* asUnsigned(std::string_view bytes) {
@@ -31,7 +31,7 @@
 
 std::string encodeBase64(std::string_view bytes) {
   const std::size_t groups = (bytes.size() + kGroupBytes - 1) / kGroupBytes;
-  // EVP_EncodeBlock writes a closing zero byte after the text.
+  // EVP_EncodeBlock writes a terminating zero byte after the text.
   std::string text(groups * kGroupCharacters + 1, '\0');
   const int length = EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()),
                                      asUnsigned(bytes), static_cast<int>(bytes.size()));
@@ -53,7 +53,8 @@
     return std::nullopt;
   }
   bytes.resize(bytes.size() - paddingOf(text));
-  // EVP_DecodeBlock skips blanks and ignores spare bits; only the canonical text may pass.
+  // EVP_DecodeBlock skips whitespace and ignores trailing bits, so the canonical form is checked
+  // here.
   if (encodeBase64(bytes) != text) {
     return std::nullopt;
   }
--- a/src/base/base64.h
+++ b/src/base/base64.h
@@ -1,4 +1,4 @@
-/// \file Strict base64 (RFC 4648 with padding): one text for one byte string.
+/// \file Strict base64 (RFC 4648 with padding): each byte string has exactly one encoding.
 #pragma once
 
 #include <optional>
@@ -10,8 +10,8 @@
 /// \return the bytes as base64 with padding, without line breaks.
 std::string encodeBase64(std::string_view bytes);
 
-/// \return the bytes, or nothing when the text is not the one base64 text of any bytes (blanks,
-/// missing padding and non-zero spare bits are refused, so that no two texts mean the same).
+/// \return the bytes, or nothing when `text` is not canonical base64: whitespace, missing padding
+/// and non-zero trailing bits are rejected, so that no two texts decode to the same bytes.
 std::optional<std::string> decodeBase64(std::string_view text);
 
 }  // namespace gorsetrail
--- a/src/base/error.cpp
+++ b/src/base/error.cpp
@@ -5,52 +5,52 @@
 namespace gorsetrail {
 namespace {
 
-struct KindFacts {
+struct KindDescription {
   ErrorKind kind;
   std::string_view name;
   unsigned httpStatus;
 };
 
 constexpr std::array kKinds = {
-    KindFacts{ErrorKind::MalformedRequest, "malformed_request", 400},
-    KindFacts{ErrorKind::RequestTooLarge, "request_too_large", 413},
-    KindFacts{ErrorKind::MissingField, "missing_field", 400},
-    KindFacts{ErrorKind::InvalidField, "invalid_field", 400},
-    KindFacts{ErrorKind::UnknownField, "unknown_field", 400},
-    KindFacts{ErrorKind::UnknownModel, "unknown_model", 404},
-    KindFacts{ErrorKind::UnknownTenant, "unknown_tenant", 403},
-    KindFacts{ErrorKind::WorkNotAllowed, "work_not_allowed", 403},
-    KindFacts{ErrorKind::BundleNotInForce, "bundle_not_in_force", 503},
-    KindFacts{ErrorKind::InvalidBundle, "invalid_bundle", 400},
-    KindFacts{ErrorKind::InvalidSignature, "invalid_signature", 400},
-    KindFacts{ErrorKind::BundleConflict, "bundle_conflict", 409},
-    KindFacts{ErrorKind::BundleTooOld, "bundle_too_old", 409},
-    KindFacts{ErrorKind::ProgramOwnedElsewhere, "program_owned_elsewhere", 307},
-    KindFacts{ErrorKind::ProgramClosed, "program_closed", 409},
-    KindFacts{ErrorKind::ProgramNotFound, "program_not_found", 404},
-    KindFacts{ErrorKind::HistoryMismatch, "history_mismatch", 409},
-    KindFacts{ErrorKind::RequestConflict, "request_conflict", 409},
-    KindFacts{ErrorKind::BudgetExceeded, "budget_exceeded", 402},
-    KindFacts{ErrorKind::AdmissionRefused, "admission_refused", 429},
-    KindFacts{ErrorKind::NoBackendAvailable, "no_backend_available", 503},
-    KindFacts{ErrorKind::BackendRefused, "backend_refused", 502},
-    KindFacts{ErrorKind::BackendFailed, "backend_failed", 502},
-    KindFacts{ErrorKind::DeadlineExceeded, "deadline_exceeded", 504},
-    KindFacts{ErrorKind::OutcomeNotKnown, "outcome_not_known", 502},
-    KindFacts{ErrorKind::QuorumUnavailable, "quorum_unavailable", 503},
-    KindFacts{ErrorKind::HomeZoneUnreachable, "home_zone_unreachable", 503},
-    KindFacts{ErrorKind::StaleEpoch, "stale_epoch", 409},
-    KindFacts{ErrorKind::NodeStopping, "node_stopping", 503},
-    KindFacts{ErrorKind::InvalidSettings, "invalid_settings", 500},
-    KindFacts{ErrorKind::PlatformUnavailable, "platform_unavailable", 503},
-    KindFacts{ErrorKind::InvalidFrame, "invalid_frame", 400},
-    KindFacts{ErrorKind::Internal, "internal", 500},
+    KindDescription{ErrorKind::MalformedRequest, "malformed_request", 400},
+    KindDescription{ErrorKind::RequestTooLarge, "request_too_large", 413},
+    KindDescription{ErrorKind::MissingField, "missing_field", 400},
+    KindDescription{ErrorKind::InvalidField, "invalid_field", 400},
+    KindDescription{ErrorKind::UnknownField, "unknown_field", 400},
+    KindDescription{ErrorKind::UnknownModel, "unknown_model", 404},
+    KindDescription{ErrorKind::UnknownTenant, "unknown_tenant", 403},
+    KindDescription{ErrorKind::WorkNotAllowed, "work_not_allowed", 403},
+    KindDescription{ErrorKind::BundleNotInForce, "bundle_not_in_force", 503},
+    KindDescription{ErrorKind::InvalidBundle, "invalid_bundle", 400},
+    KindDescription{ErrorKind::InvalidSignature, "invalid_signature", 400},
+    KindDescription{ErrorKind::BundleConflict, "bundle_conflict", 409},
+    KindDescription{ErrorKind::BundleTooOld, "bundle_too_old", 409},
+    KindDescription{ErrorKind::ProgramOwnedElsewhere, "program_owned_elsewhere", 307},
+    KindDescription{ErrorKind::ProgramClosed, "program_closed", 409},
+    KindDescription{ErrorKind::ProgramNotFound, "program_not_found", 404},
+    KindDescription{ErrorKind::HistoryMismatch, "history_mismatch", 409},
+    KindDescription{ErrorKind::RequestConflict, "request_conflict", 409},
+    KindDescription{ErrorKind::BudgetExceeded, "budget_exceeded", 402},
+    KindDescription{ErrorKind::AdmissionRefused, "admission_refused", 429},
+    KindDescription{ErrorKind::NoBackendAvailable, "no_backend_available", 503},
+    KindDescription{ErrorKind::BackendRefused, "backend_refused", 502},
+    KindDescription{ErrorKind::BackendFailed, "backend_failed", 502},
+    KindDescription{ErrorKind::DeadlineExceeded, "deadline_exceeded", 504},
+    KindDescription{ErrorKind::OutcomeNotKnown, "outcome_not_known", 502},
+    KindDescription{ErrorKind::QuorumUnavailable, "quorum_unavailable", 503},
+    KindDescription{ErrorKind::HomeZoneUnreachable, "home_zone_unreachable", 503},
+    KindDescription{ErrorKind::StaleEpoch, "stale_epoch", 409},
+    KindDescription{ErrorKind::NodeStopping, "node_stopping", 503},
+    KindDescription{ErrorKind::InvalidSettings, "invalid_settings", 500},
+    KindDescription{ErrorKind::PlatformUnavailable, "platform_unavailable", 503},
+    KindDescription{ErrorKind::InvalidFrame, "invalid_frame", 400},
+    KindDescription{ErrorKind::Internal, "internal", 500},
 };
 
-const KindFacts& factsOf(ErrorKind kind) {
-  for (const KindFacts& facts : kKinds) {
-    if (facts.kind == kind) {
-      return facts;
+const KindDescription& descriptionOf(ErrorKind kind) {
+  for (const KindDescription& description : kKinds) {
+    if (description.kind == kind) {
+      return description;
     }
   }
   return kKinds.back();
@@ -58,9 +58,9 @@
 
 }  // namespace
 
-std::string_view errorKindName(ErrorKind kind) { return factsOf(kind).name; }
+std::string_view errorKindName(ErrorKind kind) { return descriptionOf(kind).name; }
 
-unsigned httpStatusOf(ErrorKind kind) { return factsOf(kind).httpStatus; }
+unsigned httpStatusOf(ErrorKind kind) { return descriptionOf(kind).httpStatus; }
 
 std::string_view runOutcomeName(RunOutcome outcome) {
   switch (outcome) {
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,4 +1,4 @@
-/// \file Typed errors. Every error names what is wrong, where, and what to do about it.
+/// \file Typed errors with the place of the fault, its reason and a remedy.
 #pragma once
 
 #include <cstdint>
@@ -7,14 +7,14 @@
 
 namespace gorsetrail {
 
-/// What is known about the run of the request that an error answers.
+/// Execution state of a request that was answered with an error.
 enum class RunOutcome : std::uint8_t {
-  NotRun,          ///< Certainly never dispatched.
-  OutcomeUnknown,  ///< It may have run; ask again with the same request id.
-  Completed,       ///< It ran, and the answer is stored.
+  NotRun,          ///< Never dispatched.
+  OutcomeUnknown,  ///< May have run; retry with the same request id.
+  Completed,       ///< Ran, and its answer is stored.
 };
 
-/// Kind of an error; each kind has one HTTP status and one stable text (see `errorKindName`).
+/// Kind of an error. Each kind has one HTTP status and one stable name (see `errorKindName`).
 enum class ErrorKind : std::uint8_t {
   MalformedRequest,
   RequestTooLarge,
@@ -55,19 +55,19 @@
 std::string_view errorKindName(ErrorKind kind);
 /// \return `not_run`, `outcome_unknown` or `completed`.
 std::string_view runOutcomeName(RunOutcome outcome);
-/// \return the HTTP status a caller gets for a kind.
+/// \return the HTTP status of responses with this kind.
 unsigned httpStatusOf(ErrorKind kind);
 
-/// An error as a value. `field` names the file, key, header or JSON path at fault (may be empty).
+/// An error as a value.
 struct Error {
   ErrorKind kind = ErrorKind::Internal;
-  std::string field;
+  std::string field;  ///< File, key, header or JSON path at fault; may be empty.
   std::string reason;
-  std::string remedy;
+  std::string remedy;  ///< What the caller or operator should do.
   RunOutcome outcome = RunOutcome::NotRun;
-  /// Seconds after which the caller should come back; 0 when coming back does not help.
+  /// Delay before a retry, in seconds; 0 when a retry does not help.
   std::uint32_t retryAfterSeconds = 0;
-  /// Address to go to instead (`ProgramOwnedElsewhere` only), else empty.
+  /// Redirect address (`ProgramOwnedElsewhere` only), otherwise empty.
   std::string location = {};
 
   /// \return one line: `kind field: reason; remedy`.
--- a/src/base/ids.cpp
+++ b/src/base/ids.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 ProgramId programIdOf(const ProgramKey& key) {
-  // Lengths come first, so that no two different keys give the same text.
+  // The length prefix makes the text unambiguous: different keys give different texts.
   const std::string text = std::to_string(key.homeZone.size()) + ":" +
                            std::to_string(key.tenant.size()) + ":" + key.homeZone + key.tenant +
                            key.name;
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -1,4 +1,4 @@
-/// \file Strong identifiers: numbers and digests that cannot be mixed up with each other.
+/// \file Strongly typed identifiers: numbers and digests that do not convert into each other.
 #pragma once
 
 #include <array>
@@ -9,12 +9,12 @@
 #include <string>
 #include <string_view>
 
-// `NOLINT(modernize-use-nullptr)` on a defaulted `<=>`: clang-tidy 14 takes the literal 0 that the
-// compiler compares the result with for a null pointer.
+// `NOLINT(modernize-use-nullptr)` on a defaulted `<=>`: clang-tidy 14 mistakes the literal 0 in the
+// generated comparison for a null pointer.
 
 namespace gorsetrail {
 
-/// A number that names one kind of thing. Two ids of different tags never convert.
+/// A numeric identifier. Identifiers with different tags do not convert into each other.
 template <class Tag, class Representation>
 class StrongId {
  public:
@@ -34,26 +34,27 @@
   Representation value_{};
 };
 
-/// A node (one `gorsetraild` process) as configured by the platform; unique in the fleet.
+/// Identifies a node (one `gorsetraild` process); unique in the fleet, assigned by the platform.
 using NodeId = StrongId<struct NodeIdTag, std::uint32_t>;
-/// One life of a node. A restarted node has a higher incarnation and an empty memory.
+/// Identifies one run of a node process. A restart increases it and loses all in-memory state.
 using Incarnation = StrongId<struct IncarnationTag, std::uint64_t>;
-/// Fences writers of one program: replicas refuse any lower epoch than the highest they promised.
+/// Fences writers of one program: replicas reject epochs below the highest one they promised.
 using Epoch = StrongId<struct EpochTag, std::uint64_t>;
-/// Position of a record in one program's journal, from 1.
+/// Position of a record in a program's journal, from 1.
 using SequenceNumber = StrongId<struct SequenceNumberTag, std::uint64_t>;
-/// Number of a call within its program, given by the owner, from 1.
+/// Number of a call within its program, assigned by the program's owner node, from 1.
 using CallNumber = StrongId<struct CallNumberTag, std::uint32_t>;
-/// Number of a dispatch of one call, from 1.
+/// Number of a dispatch attempt of one call, from 1.
 using AttemptNumber = StrongId<struct AttemptNumberTag, std::uint32_t>;
-/// Version of the operators' bundle; only ever rises.
+/// Version of the operators' configuration bundle; increases monotonically.
 using BundleVersion = StrongId<struct BundleVersionTag, std::uint64_t>;
-/// Position in a stream of the platform's log.
+/// Position of a record in a stream of the platform's log.
 using LogOffset = StrongId<struct LogOffsetTag, std::uint64_t>;
-/// A call in the memory of one node, from arrival to final answer; never reused in one life.
+/// Identifies a call in the memory of one node, from arrival to the final answer. It is not reused
+/// within one incarnation.
 using CallHandle = StrongId<struct CallHandleTag, std::uint64_t>;
 
-/// 128 bits of SHA-256, used as a name for a longer text.
+/// The first 128 bits of a SHA-256 digest, used as an identifier.
 template <class Tag>
 struct Digest128 {
   std::array<std::uint8_t, 16> bytes{};
@@ -71,15 +72,15 @@
   }
 };
 
-/// Names a program: digest of its home zone, tenant and the caller's name for it.
+/// Identifies a program: digest of its `ProgramKey`.
 using ProgramId = Digest128<struct ProgramIdTag>;
-/// Names a caller's request within its program: digest of its `Idempotency-Key`.
+/// Identifies a caller's request within its program: digest of its `Idempotency-Key` header.
 using RequestDigest = Digest128<struct RequestDigestTag>;
-/// Names the content of a request or of a program's history.
+/// Digest of the content of a request or of a program's history.
 using ContentDigest = Digest128<struct ContentDigestTag>;
 
-/// The caller-visible name of a program. The home zone never changes: its zone's nodes
-/// hold the journal, so that a zone that is cut off can go on by itself.
+/// The caller-visible name of a program. The home zone never changes. Its nodes store the program's
+/// journal, so that a partitioned zone can continue its own programs.
 struct ProgramKey {
   std::string homeZone;
   std::string tenant;
@@ -87,14 +88,13 @@
   auto operator<=>(const ProgramKey&) const = default;  // NOLINT(modernize-use-nullptr)
 };
 
-/// \return the id under which every node knows the program.
+/// \return the id of the program, which is the same on every node.
 ProgramId programIdOf(const ProgramKey& key);
 /// \return the digest of a caller's request id.
 RequestDigest requestDigestOf(std::string_view idempotencyKey);
-/// \return the digest of any content.
 ContentDigest contentDigestOf(std::string_view content);
 
-/// Names one dispatch; engines and application back ends see it as `X-Request-Id`.
+/// Identifies one dispatch; sent to engines and application back ends as `X-Request-Id`.
 struct DispatchId {
   ProgramId program;
   Epoch epoch;
--- a/src/base/json_pointer.h
+++ b/src/base/json_pointer.h
@@ -1,4 +1,4 @@
-/// \file JSON pointers (RFC 6901), which name the place of a fault in a document.
+/// \file JSON pointers (RFC 6901), which locate errors in a document.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace gorsetrail {
 
-/// \return a JSON pointer with one more level below `path`.
+/// \return the JSON pointer of a child of `path`; special characters in `key` are escaped.
 std::string childPath(const std::string& path, std::string_view key);
 std::string childPath(const std::string& path, std::size_t index);
 
--- a/src/base/json_schema.cpp
+++ b/src/base/json_schema.cpp
@@ -18,14 +18,14 @@
 
 constexpr std::string_view kMissing = "Missing required property '";
 
-/// valijson repeats a failure for every enclosing object and array; only the innermost is of use.
-/// Unknown keys are found by `collectUnknownKeys`, since valijson names just one an object.
+/// valijson repeats an error for every enclosing object and array, so only the innermost is kept.
+/// It reports just one unknown key per object, so `collectUnknownKeys` finds these instead.
 bool isRepetition(std::string_view description) {
   return description.starts_with("Failed to validate") ||
          description.starts_with("Object contains a property");
 }
 
-/// valijson's context is `<root>`, `[works]`, `[2]`, ...
+/// Converts valijson's context, such as `<root>`, `[works]`, `[2]`, to a JSON pointer.
 std::string pathOf(const std::vector<std::string>& context) {
   std::string path;
   for (std::size_t level = 1; level < context.size(); ++level) {
@@ -43,7 +43,7 @@
   return root.at(json::json_pointer(reference->get<std::string>().substr(1)));
 }
 
-/// \return the schema of the value at `path`; the root's when the path has none.
+/// \return the schema of the value at `path`; the root schema when `path` has none.
 const json& schemaAt(const std::string& path, const json& root) {
   const json* schema = &root;
   json::json_pointer pointer(path);
@@ -92,7 +92,7 @@
   return text;
 }
 
-SchemaBreach toBreach(const SchemaFailure& failure, const json& root) {
+SchemaBreach toViolation(const SchemaFailure& failure, const json& root) {
   const std::string path = pathOf(failure.context);
   if (!failure.reason.starts_with(kMissing)) {
     return {SchemaFault::InvalidValue, path, "", failure.reason,
@@ -112,13 +112,14 @@
   return text;
 }
 
-/// Walks document and schema side by side; its depth is that of the schema, not of the document.
+/// Traverses document and schema together. The recursion depth is limited by the schema, not by the
+/// document.
 void collectUnknownKeys(const json& document, const json& schema, const json& root,
-                        const std::string& path, std::vector<SchemaBreach>& breaches) {
+                        const std::string& path, std::vector<SchemaBreach>& violations) {
   if (document.is_array() && schema.contains("items")) {
     for (std::size_t index = 0; index < document.size(); ++index) {
       collectUnknownKeys(document[index], resolved(schema["items"], root), root,
-                         childPath(path, index), breaches);
+                         childPath(path, index), violations);
     }
   }
   if (!document.is_object() || !schema.contains("properties")) {
@@ -129,10 +130,10 @@
     const std::string memberPath = childPath(path, member.key());
     const auto property = properties.find(member.key());
     if (property == properties.end()) {
-      breaches.push_back(
+      violations.push_back(
           {SchemaFault::UnknownKey, memberPath, member.key(), "", listKeys(properties)});
     } else {
-      collectUnknownKeys(member.value(), resolved(*property, root), root, memberPath, breaches);
+      collectUnknownKeys(member.value(), resolved(*property, root), root, memberPath, violations);
     }
   }
 }
@@ -167,14 +168,14 @@
 }
 
 std::vector<SchemaBreach> JsonSchema::check(const json& document) const {
-  std::vector<SchemaBreach> breaches;
+  std::vector<SchemaBreach> violations;
   for (const SchemaFailure& failure : failures(document)) {
     if (!isRepetition(failure.reason)) {
-      breaches.push_back(toBreach(failure, compiled_->text));
+      violations.push_back(toViolation(failure, compiled_->text));
     }
   }
-  collectUnknownKeys(document, compiled_->text, compiled_->text, "", breaches);
-  return breaches;
+  collectUnknownKeys(document, compiled_->text, compiled_->text, "", violations);
+  return violations;
 }
 
 }  // namespace gorsetrail
--- a/src/base/json_schema.h
+++ b/src/base/json_schema.h
@@ -1,4 +1,4 @@
-/// \file Checks JSON documents against a JSON Schema (draft 7); valijson stays out of this header.
+/// \file Validates JSON documents against a JSON Schema (draft 7) without exposing valijson.
 #pragma once
 
 #include <cstdint>
@@ -10,38 +10,40 @@
 
 namespace gorsetrail {
 
-/// What is wrong at one place of a document.
+/// Kind of a schema violation.
 enum class SchemaFault : std::uint8_t { MissingKey, UnknownKey, InvalidValue };
 
-/// One way in which a document breaks its schema.
+/// One violation of a schema by a document.
 struct SchemaBreach {
   SchemaFault fault = SchemaFault::InvalidValue;
-  std::string path;      ///< JSON pointer; of a missing key, where it should stand; "" is the root.
-  std::string key;       ///< The missing or unknown key, else empty.
-  std::string reason;    ///< What the validator found (`InvalidValue` only).
-  std::string expected;  ///< What the schema asks for; of an unknown key, the keys it knows.
+  std::string path;      ///< JSON pointer to the value or the missing key; "" is the root.
+  std::string key;       ///< The missing or unknown key, otherwise empty.
+  std::string reason;    ///< Message of the validator (`InvalidValue` only).
+  std::string expected;  ///< What the schema requires; for an unknown key, the known keys.
 };
 
-/// A failure in the validator's own words; it fails again for every enclosing object and array.
+/// An unprocessed error of the validator, which repeats it for every enclosing object and array.
 struct SchemaFailure {
   std::vector<std::string> context;  ///< From the root: `<root>`, `[works]`, `[2]`, ...
   std::string reason;
 };
 
-/// A compiled schema. Checking converts no types: "1" is not a number.
+/// A compiled schema. Validation does not convert types: "1" is not a number.
 class JsonSchema {
  public:
-  /// \param text a valid schema; it comes with the program, so anything else throws.
+  /// \param text the schema. An invalid one throws, because schemas are part of the program.
   explicit JsonSchema(std::string_view text);
   ~JsonSchema();
   JsonSchema(JsonSchema&&) noexcept;
   JsonSchema& operator=(JsonSchema&&) noexcept;
 
-  /// \return all breaches, each once; for schemas that close every object (unknown keys are found
-  /// by walking `properties`, `items` and `$ref`).
+  /// For schemas that forbid additional properties in every object, because every key that is not
+  /// in `properties` is reported.
+  /// \return all violations, each once.
   [[nodiscard]] std::vector<SchemaBreach> check(const nlohmann::json& document) const;
 
-  /// \return the validator's failures, the innermost first; for schemas of any form.
+  /// For any schema.
+  /// \return the validator's errors, innermost first.
   [[nodiscard]] std::vector<SchemaFailure> failures(const nlohmann::json& document) const;
 
  private:
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -61,12 +61,12 @@
   line.push_back('"');
 }
 
-LogLevel& minimumLevelInForce() {
+LogLevel& currentMinimumLevel() {
   static LogLevel level = LogLevel::Info;
   return level;
 }
 
-LogSink& sinkInForce() {
+LogSink& currentSink() {
   static LogSink sink;
   return sink;
 }
@@ -96,14 +96,14 @@
   return found == kLevels.end() ? LogLevel::Info : found->level;
 }
 
-void setLogSink(LogSink sink) { sinkInForce() = std::move(sink); }
+void setLogSink(LogSink sink) { currentSink() = std::move(sink); }
 
 void configureLogging(LogLevel minimumLevel) {
-  minimumLevelInForce() = minimumLevel;
+  currentMinimumLevel() = minimumLevel;
   el::Configurations configurations;
   configurations.setToDefault();
   configurations.setGlobally(el::ConfigurationType::ToFile, "false");
-  // The library's name for the console, which its build binds to standard error.
+  // The library's build redirects this console setting to standard error.
   configurations.setGlobally(el::ConfigurationType::ToStandardOutput, "true");
   configurations.setGlobally(el::ConfigurationType::Format,
                              "time=%datetime{%Y-%M-%dT%H:%m:%s.%g} level=%level %msg");
@@ -123,12 +123,12 @@
 }
 
 void logEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) {
-  if (level < minimumLevelInForce()) {
+  if (level < currentMinimumLevel()) {
     return;
   }
   const std::string line = formatLogLine(event, fields);
-  if (sinkInForce()) {
-    sinkInForce()(level, line);
+  if (currentSink()) {
+    currentSink()(level, line);
   } else {
     writeToStandardError(level, line);
   }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -11,10 +11,11 @@
 /// Severity of a log line.
 enum class LogLevel : std::uint8_t { Debug, Info, Warning, Error };
 
-/// \return the level that settings call `debug`, `info`, `warning` or `error`; else `Info`.
+/// \return the level for `debug`, `info`, `warning` or `error` in settings; otherwise `Info`.
 LogLevel logLevelNamed(std::string_view name);
 
-/// One `key=value` pair; values with blanks, quotes or control characters are quoted and escaped.
+/// One `key=value` pair. A value that contains spaces, quotes, `=`, backslashes or control
+/// characters is quoted, and so is an empty one.
 struct LogField {
   LogField(std::string_view fieldKey, std::string_view text) : key(fieldKey), value(text) {}
   LogField(std::string_view fieldKey, const char* text) : key(fieldKey), value(text) {}
@@ -24,7 +25,7 @@
   std::string value;
 };
 
-/// Configures easylogging++ once for a process: standard error, UTC time, one line an event.
+/// Configures easylogging++; call once per process. Writes one line per event to standard error.
 /// \param minimumLevel lines below it are dropped.
 void configureLogging(LogLevel minimumLevel);
 
--- a/src/base/log_sink.h
+++ b/src/base/log_sink.h
@@ -1,4 +1,4 @@
-/// \file Where log lines go: standard error, unless a test takes them.
+/// \file Redirects log lines from standard error to a function, for tests.
 #pragma once
 
 #include <functional>
@@ -8,11 +8,11 @@
 
 namespace gorsetrail {
 
-/// Takes one line, without time and level, that is not below the level in force.
+/// Receives each line at or above the minimum level, without time and level.
 using LogSink = std::function<void(LogLevel level, const std::string& line)>;
 
-/// Sends lines to `sink` instead of standard error; an empty sink undoes it. Set it while no other
-/// thread logs: it is not locked.
+/// Sends lines to `sink`, or to standard error when `sink` is empty. Not thread-safe: no other
+/// thread may log during the call.
 void setLogSink(LogSink sink);
 
 }  // namespace gorsetrail
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,4 +1,4 @@
-/// \file Random numbers, injected so that a run can be repeated by its seed.
+/// \file Seeded random numbers, so that runs are reproducible.
 #pragma once
 
 #include <boost/random/taus88.hpp>
@@ -8,13 +8,13 @@
 
 namespace gorsetrail {
 
-/// A seeded source of random numbers; small, so that each node has its own.
+/// Pseudorandom number generator with small state, so that each node can have its own.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed)
       : generator_(static_cast<std::uint32_t>(seed ^ (seed >> 32)) | 16U) {}
 
-  /// \return a number in [0, bound); 0 when `bound` is 0.
+  /// \return a uniformly distributed number in [0, bound); 0 when `bound` is 0.
   std::uint64_t below(std::uint64_t bound) {
     if (bound == 0) {
       return 0;
@@ -22,7 +22,7 @@
     return boost::random::uniform_int_distribution<std::uint64_t>(0, bound - 1)(generator_);
   }
 
-  /// \return a number in [0, 1).
+  /// \return a uniformly distributed number in [0, 1).
   double fraction() {
     return boost::random::uniform_real_distribution<double>(0.0, 1.0)(generator_);
   }
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -1,4 +1,4 @@
-/// \file Results as `std::variant`: a value or a typed error.
+/// \file Result types: a value or a typed error, as `std::variant`.
 #pragma once
 
 #include <utility>
@@ -8,10 +8,10 @@
 
 namespace gorsetrail {
 
-/// Result of an operation without a value.
+/// Value of a successful operation that returns nothing.
 struct Success {};
 
-/// A value of type `T`, or the error that kept it from being made.
+/// A value of type `T`, or an error.
 template <class T>
 using Result = std::variant<T, Error>;
 
@@ -21,7 +21,7 @@
   return std::holds_alternative<T>(result);
 }
 
-/// \return the value; the caller has checked `succeeded`.
+/// Requires `succeeded(result)`; throws `std::bad_variant_access` otherwise.
 template <class T>
 [[nodiscard]] T& valueOf(Result<T>& result) {
   return std::get<T>(result);
@@ -31,7 +31,7 @@
   return std::get<T>(result);
 }
 
-/// \return the error; the caller has checked that there is one.
+/// Requires `!succeeded(result)`; throws `std::bad_variant_access` otherwise.
 template <class T>
 [[nodiscard]] const Error& errorOf(const Result<T>& result) {
   return std::get<Error>(result);
--- a/src/base/steady_clock.h
+++ b/src/base/steady_clock.h
@@ -1,4 +1,4 @@
-/// \file The machine's steady clock, read at the edge of a process and passed in as a function.
+/// \file Reads the machine's steady clock. Other code receives the clock as a function argument.
 #pragma once
 
 #include <chrono>
@@ -7,7 +7,7 @@
 
 namespace gorsetrail {
 
-/// \return this moment of the machine's steady clock.
+/// \return the current time of the machine's steady clock.
 inline Instant steadyNow() {
   const auto sinceStart = std::chrono::steady_clock::now().time_since_epoch();
   return Instant(std::chrono::duration_cast<Duration>(sinceStart));
--- a/src/base/text_check.cpp
+++ b/src/base/text_check.cpp
@@ -12,8 +12,8 @@
   return byte < ' ' || byte == kDelete;
 }
 
-/// \return how many bytes the UTF-8 character at the front takes; 0 when there is none. Longer
-/// forms of a character than its shortest and halves of surrogate pairs are none.
+/// Overlong encodings and surrogates are invalid.
+/// \return the length of the first UTF-8 character in bytes; 0 when it is invalid.
 std::size_t characterBytes(std::string_view text) {
   struct Form {
     unsigned char firstLead, lastLead;
--- a/src/base/text_check.h
+++ b/src/base/text_check.h
@@ -1,4 +1,4 @@
-/// \file Check of names that other programs wrote.
+/// \file Validates names received from other programs.
 #pragma once
 
 #include <cstddef>
@@ -6,13 +6,14 @@
 
 namespace gorsetrail {
 
-/// The longest name of a replica, service, zone or node: a key in the store has at most this many
-/// bytes, its length is one byte.
+/// Maximum length of the name of a replica, service, zone or node. Keys in the log store have the
+/// same limit, because their length is encoded in one byte.
 inline constexpr std::size_t kMaximumNameBytes = 255;
 
-/// \return whether the text may be a name: not empty, not too long, UTF-8 without control
-/// characters. Names go into HTTP headers, log lines and metrics, where a line break in one would
-/// be read as something else.
+/// Control characters are rejected, because a line break in a name could inject HTTP headers, log
+/// lines or metrics.
+/// \return whether `text` is a valid name: not empty, not too long, valid UTF-8 without control
+/// characters.
 bool isName(std::string_view text);
 
 }  // namespace gorsetrail
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,4 +1,4 @@
-/// \file Time as decision code sees it: a value passed in, never read from a clock.
+/// \file Time types. Decision code receives times as arguments and never reads a clock.
 #pragma once
 
 #include <chrono>
@@ -6,7 +6,7 @@
 
 namespace gorsetrail {
 
-/// Clock tag; the daemon maps it to the steady clock, the lab to virtual time.
+/// Clock tag. The daemon maps it to the steady clock, simulations map it to virtual time.
 struct NodeClock {
   using rep = std::int64_t;
   using period = std::micro;
@@ -16,16 +16,16 @@
   static constexpr bool is_steady = true;  // NOLINT(readability-identifier-naming)
 };
 
-/// A moment on this node's own clock; never compared between nodes.
+/// A point in time on this node's clock; not comparable between nodes.
 using Instant = NodeClock::time_point;
-/// A span of time, in microseconds.
+/// A time span in microseconds.
 using Duration = NodeClock::duration;
 
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// \return the span in milliseconds as a number for figures and logs.
+/// \return the span as a number of milliseconds, for metrics and logs.
 inline double toMilliseconds(Duration span) { return static_cast<double>(span.count()) / 1000.0; }
 
 }  // namespace gorsetrail
--- a/src/metrics/family_list.h
+++ b/src/metrics/family_list.h
@@ -1,4 +1,4 @@
-/// \file Metric families in Prometheus' model, gathered when a page is asked for.
+/// \file Builds a Prometheus metrics page for one scrape.
 #pragma once
 
 #include <prometheus/metric_family.h>
@@ -9,23 +9,26 @@
 
 namespace gorsetrail::metrics {
 
-/// Collects families in the order they are added; every name begins with `gorsetrail_`.
+/// Collects metric families in insertion order and prefixes their names with `gorsetrail_`.
 class FamilyList {
  public:
+  /// Adds a counter family with one value and no labels.
   void counter(const std::string& name, const std::string& help, std::uint64_t value) {
     family(name, help, prometheus::MetricType::Counter);
     add(value, {});
   }
+  /// Adds a gauge family with one value and no labels.
   void gauge(const std::string& name, const std::string& help, std::uint64_t value) {
     family(name, help, prometheus::MetricType::Gauge);
     add(value, {});
   }
-  /// Starts a family whose values have labels; they follow by `add`.
+  /// Starts a family; `add` adds its values.
   void family(const std::string& name, const std::string& help, prometheus::MetricType type);
+  /// Adds a value to the last family, which must exist. A type other than counter counts as gauge.
   void add(std::uint64_t value, std::vector<prometheus::ClientMetric::Label> labels);
-  /// Appends families that a registry collected.
+  /// Appends families of a Prometheus registry, without changing their names.
   void append(std::vector<prometheus::MetricFamily> families);
-  /// \return the page in Prometheus' text format.
+  /// \return all families in the Prometheus text format.
   [[nodiscard]] std::string render() const;
 
  private:
--- a/tests/base/base64_test.cpp
+++ b/tests/base/base64_test.cpp
@@ -6,7 +6,7 @@
 
 TEST_GROUP(Base64){};
 
-TEST(Base64, HasOneTextForOneByteString) {
+TEST(Base64, RejectsNonCanonicalText) {
   STRCMP_EQUAL("Zm9vYg==", encodeBase64("foob").c_str());
   CHECK(decodeBase64("Zm9vYg==") == "foob");
   CHECK(decodeBase64("") == "");
--- a/tests/base/json_schema_test.cpp
+++ b/tests/base/json_schema_test.cpp
@@ -24,37 +24,37 @@
 
 TEST_GROUP(JsonSchema){};
 
-TEST(JsonSchema, SoundDocumentHasNoBreach) {
+TEST(JsonSchema, ValidDocumentHasNoViolation) {
   LONGS_EQUAL(0, check(R"({"count":1,"parts":[{"name":"a"}]})").size());
 }
 
-TEST(JsonSchema, EveryBreachIsNamedOnceAtItsInnermostPlace) {
-  const auto breaches = check(R"({"parts":[{"name":"a"},{"name":"A"},{"x/y":1,"name":"a"},{}]})");
-  LONGS_EQUAL(3, breaches.size());
-  CHECK(breaches[0].fault == SchemaFault::InvalidValue);
-  STRCMP_EQUAL("/parts/1/name", breaches[0].path.c_str());
-  STRCMP_EQUAL("a value of type string matching ^[a-z]+$", breaches[0].expected.c_str());
-  CHECK(breaches[1].fault == SchemaFault::MissingKey);
-  STRCMP_EQUAL("/parts/3/name", breaches[1].path.c_str());
-  STRCMP_EQUAL("name", breaches[1].key.c_str());
-  CHECK(breaches[2].fault == SchemaFault::UnknownKey);
-  STRCMP_EQUAL("/parts/2/x~1y", breaches[2].path.c_str());
-  STRCMP_EQUAL("name", breaches[2].expected.c_str());
+TEST(JsonSchema, ReportsEachViolationOnceAtItsInnermostPath) {
+  const auto violations = check(R"({"parts":[{"name":"a"},{"name":"A"},{"x/y":1,"name":"a"},{}]})");
+  LONGS_EQUAL(3, violations.size());
+  CHECK(violations[0].fault == SchemaFault::InvalidValue);
+  STRCMP_EQUAL("/parts/1/name", violations[0].path.c_str());
+  STRCMP_EQUAL("a value of type string matching ^[a-z]+$", violations[0].expected.c_str());
+  CHECK(violations[1].fault == SchemaFault::MissingKey);
+  STRCMP_EQUAL("/parts/3/name", violations[1].path.c_str());
+  STRCMP_EQUAL("name", violations[1].key.c_str());
+  CHECK(violations[2].fault == SchemaFault::UnknownKey);
+  STRCMP_EQUAL("/parts/2/x~1y", violations[2].path.c_str());
+  STRCMP_EQUAL("name", violations[2].expected.c_str());
 }
 
 TEST(JsonSchema, TypesAreNotConverted) {
-  const auto breaches = check(R"({"count":"1"})");
-  LONGS_EQUAL(1, breaches.size());
-  STRCMP_EQUAL("a value of type integer from 1", breaches[0].expected.c_str());
+  const auto violations = check(R"({"count":"1"})");
+  LONGS_EQUAL(1, violations.size());
+  STRCMP_EQUAL("a value of type integer from 1", violations[0].expected.c_str());
 }
 
-TEST(JsonSchema, RootOfAnotherTypeHasTheEmptyPath) {
-  const auto breaches = check("[]");
-  LONGS_EQUAL(1, breaches.size());
-  STRCMP_EQUAL("", breaches[0].path.c_str());
+TEST(JsonSchema, RootOfAnInvalidTypeHasTheEmptyPath) {
+  const auto violations = check("[]");
+  LONGS_EQUAL(1, violations.size());
+  STRCMP_EQUAL("", violations[0].path.c_str());
 }
 
-TEST(JsonSchema, FailuresHoldTheEnclosingOnesToo) {
+TEST(JsonSchema, FailuresIncludeThoseOfEnclosingValues) {
   const auto failures =
       JsonSchema(kSchema).failures(nlohmann::json::parse(R"({"parts":[{"name":"A"}]})"));
   CHECK(failures.size() > 1);
--- a/tests/base/log_test.cpp
+++ b/tests/base/log_test.cpp
@@ -14,7 +14,7 @@
   STRCMP_EQUAL("event=call_refused tenant=\"a\\x0aevent=fake\" count=3", line.c_str());
 }
 
-TEST(Log, SinkTakesTheLinesOfTheLevelInForce) {
+TEST(Log, SinkReceivesOnlyLinesAtOrAboveTheMinimumLevel) {
   LogCapture log;
   logEvent(LogLevel::Debug, "dropped", {});
   logEvent(LogLevel::Warning, "kept", {{"count", std::uint64_t{3}}});
@@ -22,7 +22,7 @@
   STRCMP_EQUAL("event=kept count=3", log.lines.front().c_str());
 }
 
-TEST(Log, LevelsHaveTheNamesOfTheSettings) {
+TEST(Log, LevelsAreParsedFromSettings) {
   CHECK(logLevelNamed("debug") == LogLevel::Debug);
   CHECK(logLevelNamed("warning") == LogLevel::Warning);
   CHECK(logLevelNamed("error") == LogLevel::Error);
