--- a/src/base/text_check.cpp
+++ b/src/base/text_check.cpp
@@ -37,11 +37,11 @@
     if (text.size() < form.bytes) {
       return 0;
     }
-    bool whole = form.bytes == 1 || isWithin(1, form.firstSecond, form.lastSecond);
+    bool isValid = form.bytes == 1 || isWithin(1, form.firstSecond, form.lastSecond);
     for (std::size_t at = 2; at < form.bytes; ++at) {
-      whole = whole && isWithin(at, 0x80, 0xbf);
+      isValid = isValid && isWithin(at, 0x80, 0xbf);
     }
-    return whole ? form.bytes : 0;
+    return isValid ? form.bytes : 0;
   }
   return 0;
 }
--- a/src/logstore/keyed_topic_follower.cpp
+++ b/src/logstore/keyed_topic_follower.cpp
@@ -112,8 +112,8 @@
     readNext();
     return;
   }
-  // A long poll that ends without records proves that the state is current now, not only as of
-  // the time of the request.
+  // A long poll that ends without records shows that nothing changed while it was held, so the
+  // state counts as current now, not only as of the request.
   observer_.onFresh(reply.records.empty() && knobs_.wait > Duration::zero() ? clock_() : askedAt);
   scheduleStep(&KeyedTopicFollower::readNext);
 }
