--- a/src/base/text_check.cpp
+++ b/src/base/text_check.cpp
@@ -12,8 +12,8 @@
   return byte < ' ' || byte == kDelete;
 }
 
-/// \return how many bytes the UTF-8 character at the front takes; 0 when there is none. Longer
-/// forms of a character than its shortest and halves of surrogate pairs are none.
+/// Overlong encodings and surrogates are invalid.
+/// \return the length of the first UTF-8 character in bytes; 0 when it is invalid.
 std::size_t characterBytes(std::string_view text) {
   struct Form {
     unsigned char firstLead, lastLead;
@@ -37,11 +37,11 @@
     if (text.size() < form.bytes) {
       return 0;
     }
-    bool whole = form.bytes == 1 || isWithin(1, form.firstSecond, form.lastSecond);
+    bool isValid = form.bytes == 1 || isWithin(1, form.firstSecond, form.lastSecond);
     for (std::size_t at = 2; at < form.bytes; ++at) {
-      whole = whole && isWithin(at, 0x80, 0xbf);
+      isValid = isValid && isWithin(at, 0x80, 0xbf);
     }
-    return whole ? form.bytes : 0;
+    return isValid ? form.bytes : 0;
   }
   return 0;
 }
