--- a/tests/platform/documents_fuzz_test.cpp
+++ b/tests/platform/documents_fuzz_test.cpp
@@ -25,7 +25,7 @@
 
 namespace {
 
-bool isSpan(Duration span) { return span >= Duration::zero() && span <= kLongestSpan; }
+bool isSpan(Duration span) { return span >= Duration::zero() && span <= kMaximumDuration; }
 
 constexpr std::uint64_t kMostCount = 1'000'000;
 
--- a/tests/platform/records_fuzz_test.cpp
+++ b/tests/platform/records_fuzz_test.cpp
@@ -24,7 +24,7 @@
 namespace {
 
 bool isSpan(std::optional<Duration> span) {
-  return !span || (*span >= Duration::zero() && *span <= kLongestSpan);
+  return !span || (*span >= Duration::zero() && *span <= kMaximumDuration);
 }
 
 std::string faultOfSettings(const edge::EdgeSettings& read) {
