--- a/tests/platform/damaged_documents_test.cpp
+++ b/tests/platform/damaged_documents_test.cpp
@@ -1,4 +1,5 @@
-// Documents of other writers, one row for each kind of damage: refused whole, with the field named.
+// Guards against accepting a damaged document in part: each table row is one kind of damage, and
+// the error must name the field.
 #include <cstdint>
 #include <limits>
 #include <string>
@@ -22,17 +23,17 @@
 
 namespace {
 
-/// A piece of a whole document, what stands there instead, and the field that the error names.
+/// A piece of a valid document, its replacement, and the field that the error must name.
 struct Damage {
   const char* piece;
-  const char* instead;
+  const char* replacement;
   const char* field;
 };
 
 std::string damaged(std::string text, const Damage& damage) {
   const std::size_t at = text.find(damage.piece);
   CHECK_TEXT(at != std::string::npos, damage.piece);
-  return text.replace(at, std::string(damage.piece).size(), damage.instead);
+  return text.replace(at, std::string(damage.piece).size(), damage.replacement);
 }
 
 const std::vector<Damage> kRegistrationDamages = {
@@ -141,14 +142,14 @@
   node::testing::FakeHttpClient client;
   StoreCalls store{client, "10.200.1.7:8142"};
 
-  void checkRegistrationRefused(const std::string& document, const char* field) {
+  void checkRegistrationRejected(const std::string& document, const char* field) {
     const auto read = adapter.readReplicaEntry("i-1", document);
     CHECK_FALSE_TEXT(succeeded(read), document.substr(0, 300).c_str());
     STRCMP_CONTAINS(field, errorOf(read).field.c_str());
     CHECK_FALSE(errorOf(read).reason.empty());
     CHECK_FALSE(errorOf(read).remedy.empty());
   }
-  logstore::StoreResult<logstore::NewestReply> listingOf(const std::string& body) {
+  logstore::StoreResult<logstore::NewestReply> decodeListing(const std::string& body) {
     logstore::StoreResult<logstore::NewestReply> got = logstore::NewestReply{};
     store.newest(
         {{"keyed.op", 0}, "", seconds(1)},
@@ -156,7 +157,7 @@
     client.last().handler.onDone({200, {}, body});
     return got;
   }
-  logstore::StoreResult<logstore::AppendReply> appendOf(const std::string& body) {
+  logstore::StoreResult<logstore::AppendReply> decodeAppend(const std::string& body) {
     logstore::StoreResult<logstore::AppendReply> got = logstore::AppendReply{};
     store.append(
         {{"work", 3}, {"ab"}, seconds(1)},
@@ -166,7 +167,7 @@
   }
 };
 
-TEST(DamagedDocuments, aWholeRegistrationIsReadAndUnknownFieldsAreIgnored) {
+TEST(DamagedDocuments, readsAValidRegistrationAndIgnoresUnknownFields) {
   const auto read = adapter.readReplicaEntry("i-1", kRegistration);
   const routing::ReplicaEntry& entry = valueOf(read);
   LONGS_EQUAL(12, entry.slots);
@@ -178,48 +179,49 @@
   CHECK_TRUE(succeeded(more));
 }
 
-TEST(DamagedDocuments, aSpanMayHaveAFraction) {
+TEST(DamagedDocuments, aDurationMayHaveAFraction) {
   const auto read =
       adapter.readReplicaEntry("i-1", damaged(kRegistration, {":250,", ":250.5,", ""}));
   CHECK(*valueOf(read).coldFor == microseconds(250500));
 }
 
-TEST(DamagedDocuments, aDamagedRegistrationIsRefusedAndItsFieldNamed) {
+TEST(DamagedDocuments, rejectsADamagedRegistrationAndNamesTheField) {
   for (const Damage& damage : kRegistrationDamages) {
-    checkRegistrationRefused(damaged(kRegistration, damage), damage.field);
+    checkRegistrationRejected(damaged(kRegistration, damage), damage.field);
   }
   for (const char* document : {"", "7", "null", "[]", R"("text")", "\x00\x01\xfe"}) {
-    checkRegistrationRefused(document, "replica i-1");
+    checkRegistrationRejected(document, "replica i-1");
   }
 }
 
-TEST(DamagedDocuments, deepAndHugeRegistrationsAreRefused) {
+TEST(DamagedDocuments, rejectsDeepAndHugeRegistrations) {
   const Damage deep{R"("both")", nullptr, nullptr};
   for (const std::size_t depth : {std::size_t{32}, std::size_t{1000}, std::size_t{30000}}) {
     const std::string list = nested(depth);
-    checkRegistrationRefused(damaged(kRegistration, {deep.piece, list.c_str(), ""}), "replica i-1");
+    checkRegistrationRejected(damaged(kRegistration, {deep.piece, list.c_str(), ""}),
+                              "replica i-1");
   }
   const std::string openOnly(60000, '[');
-  checkRegistrationRefused(openOnly, "replica i-1");
+  checkRegistrationRejected(openOnly, "replica i-1");
   const std::string huge(std::size_t{1024} * 1024, 'x');
-  checkRegistrationRefused(damaged(kRegistration, {"both", huge.c_str(), ""}), "replica i-1");
+  checkRegistrationRejected(damaged(kRegistration, {"both", huge.c_str(), ""}), "replica i-1");
   const std::string allowed = nested(31);
   CHECK_TRUE(succeeded(
       adapter.readReplicaEntry("i-1", damaged(kRegistration, {deep.piece, allowed.c_str(), ""}))));
 }
 
-TEST(DamagedDocuments, anIdThatIsNoNameIsRefused) {
+TEST(DamagedDocuments, rejectsAnInvalidReplicaId) {
   for (const std::string& id : {std::string(), std::string("a\r\nb"), std::string("a\0b", 3),
                                 std::string("\xff"), std::string(256, 'a')}) {
     CHECK_FALSE(succeeded(adapter.readReplicaEntry(id, kRegistration)));
   }
 }
 
-TEST(DamagedDocuments, onlyTheCountOfHeartbeatsMayDifferInTheSameRegistration) {
+TEST(DamagedDocuments, onlyTheHeartbeatCounterMayDifferInTheSameRegistration) {
   const std::string next = damaged(kRegistration, {"\"callSeq\":4", "\"callSeq\":5", ""});
   CHECK_TRUE(adapter.sameRegistration(kRegistration, next));
-  const std::string odd = damaged(kRegistration, {"\"callSeq\":4", "\"callSeq\":\"5\"", ""});
-  CHECK_FALSE(adapter.sameRegistration(kRegistration, odd));
+  const std::string invalid = damaged(kRegistration, {"\"callSeq\":4", "\"callSeq\":\"5\"", ""});
+  CHECK_FALSE(adapter.sameRegistration(kRegistration, invalid));
   const std::string fraction = damaged(kRegistration, {"\"slots\":12", "\"slots\":12.0", ""});
   CHECK_FALSE(adapter.sameRegistration(kRegistration, fraction));
   CHECK_FALSE(adapter.sameRegistration(kRegistration, "{"));
@@ -228,7 +230,7 @@
   CHECK_FALSE(adapter.sameRegistration(deep, deep + " "));
 }
 
-TEST(DamagedDocuments, aConfigurationWithOneWrongFieldIsRefusedWhole) {
+TEST(DamagedDocuments, rejectsAWholeConfigurationForOneInvalidField) {
   CHECK_TRUE(succeeded(adapter.readConfiguration(kConfiguration)));
   for (const Damage& damage : kConfigurationDamages) {
     const std::string document = damaged(kConfiguration, damage);
@@ -242,19 +244,19 @@
   CHECK_FALSE(succeeded(adapter.readConfiguration(deep)));
 }
 
-TEST(DamagedDocuments, anUnsetFieldOfAConfigurationMayBeNull) {
+TEST(DamagedDocuments, anOptionalConfigurationFieldMayBeNull) {
   const auto read = adapter.readConfiguration(
       damaged(kConfiguration, {"\"priority\":3", "\"priority\":null", ""}));
   LONGS_EQUAL(5, valueOf(read).routes[0].priority);
 }
 
-TEST(DamagedDocuments, anUnknownKindOfRouteRunsOnceAtMost) {
+TEST(DamagedDocuments, anUnknownRouteKindIsUnsafe) {
   const auto read =
       adapter.readConfiguration(damaged(kConfiguration, {"\"safe\"", "\"rinsed\"", ""}));
   CHECK(valueOf(read).routes[0].kind == routing::RouteKind::Unsafe);
 }
 
-TEST(DamagedDocuments, keysWithOddZonesEvacuateNothing) {
+TEST(DamagedDocuments, ignoresEvacuationKeysWithInvalidZones) {
   for (const std::string& zone :
        {std::string("a\nb"), std::string("\xfe"), std::string("a\0", 2), std::string(256, 'z')}) {
     CHECK_FALSE(adapter.evacuatedZoneOf("evacuate/" + zone).has_value());
@@ -262,18 +264,18 @@
   STRCMP_EQUAL("a b/c=\"d", adapter.evacuatedZoneOf("evacuate/a b/c=\"d")->c_str());
 }
 
-TEST(DamagedDocuments, damagedSettingsAreRefusedAndTheirKeyNamed) {
+TEST(DamagedDocuments, rejectsDamagedSettingsAndNamesTheKey) {
   CHECK(std::holds_alternative<edge::EdgeSettings>(parseSettings(kSettings, "f")));
   for (const Damage& damage : kSettingsDamages) {
     const auto read = parseSettings(damaged(kSettings, damage), "f");
     const auto* const errors = std::get_if<std::vector<Error>>(&read);
-    CHECK_TEXT(errors != nullptr, damage.instead);
+    CHECK_TEXT(errors != nullptr, damage.replacement);
     LONGS_EQUAL(1, errors->size());
     STRCMP_EQUAL(damage.field, errors->front().field.c_str());
   }
 }
 
-TEST(DamagedDocuments, hugeAndDeepSettingsAreRefused) {
+TEST(DamagedDocuments, rejectsHugeAndDeepSettings) {
   const std::string list = nested(100000);
   for (const std::string& text : {kSettings + std::string(std::size_t{1024} * 1024, '#'),
                                   "a = " + list, std::string("a = \"\xff\"")}) {
@@ -281,27 +283,27 @@
   }
 }
 
-TEST(DamagedDocuments, aDamagedAnswerOfTheStoreIsNoAnswer) {
+TEST(DamagedDocuments, treatsADamagedStoreResponseAsNoAnswer) {
   for (const char* body :
        {"", "7", "[]", R"({"items":7})", R"({"items":[7]})", R"({"items":[{"value":"aGk="}]})",
         R"({"items":[{"privateKey":7,"value":"aGk="}]})",
         R"({"items":[{"privateKey":"k","value":7}]})",
         R"({"items":[{"privateKey":"k","value":"aGk=","offset":-1}]})", R"({"items":[],"end":-1})",
         R"({"items":[],"hasMore":1})", R"({"items":[],"end":1,"end":2})"}) {
-    const auto got = listingOf(body);
+    const auto got = decodeListing(body);
     const auto* const error = std::get_if<logstore::StoreError>(&got);
     CHECK_TEXT(error != nullptr && error->fault == logstore::StoreFault::NoAnswer, body);
   }
   for (const char* body : {"", "[]", "{}", R"({"offset":"1"})", R"({"offset":-1})",
                            R"({"offset":1.5})", R"({"offset":1,"end":[]})"}) {
-    const auto got = appendOf(body);
+    const auto got = decodeAppend(body);
     const auto* const error = std::get_if<logstore::StoreError>(&got);
     CHECK_TEXT(error != nullptr && error->fault == logstore::StoreFault::NoAnswer, body);
   }
 }
 
-TEST(DamagedDocuments, aValueThatIsNoBase64StillNamesItsKey) {
-  const auto got = listingOf(
+TEST(DamagedDocuments, keepsTheKeyOfAnItemWithInvalidBase64) {
+  const auto got = decodeListing(
       R"({"items":[{"privateKey":"i-1","value":"%%"},{"privateKey":"i-2","value":"aGk="}]})");
   const auto& items = std::get<logstore::NewestReply>(got).items;
   LONGS_EQUAL(2, items.size());
@@ -310,7 +312,7 @@
   STRCMP_EQUAL("hi", items[1].value.c_str());
 }
 
-TEST(DamagedDocuments, aCompactionWithAnOddOffsetTellsNone) {
+TEST(DamagedDocuments, ignoresAnInvalidOffsetInACompactionResponse) {
   std::optional<logstore::StoreError> error;
   for (const char* body : {R"({"first":"12"})", R"({"first":-1})", R"([1])", "{"}) {
     store.read({{"work", 3}, 0, Duration::zero(), seconds(1)},
@@ -323,7 +325,7 @@
   }
 }
 
-TEST(DamagedDocuments, namesArePlainText) {
+TEST(DamagedDocuments, acceptsOnlyUtf8NamesWithoutControlCharacters) {
   for (const std::string& name :
        {std::string("hall-a"), std::string("h\xc3\xa4lle"), std::string("\xe2\x82\xac"),
         std::string("\xf0\x9f\x8c\xb1"), std::string(255, 'a')}) {
--- a/tests/platform/document_mutator.h
+++ b/tests/platform/document_mutator.h
@@ -1,4 +1,4 @@
-/// \file Damages documents by seed, the way other writers and broken disks do.
+/// \file Seeded mutation of documents for fuzz tests.
 #pragma once
 
 #include <algorithm>
@@ -13,15 +13,15 @@
 
 namespace gorsetrail::testing {
 
-/// Makes damaged documents out of whole ones.
+/// Derives damaged documents from valid ones, as faulty writers and disk errors would.
 class DocumentMutator {
  public:
   using Json = nlohmann::json;
 
   explicit DocumentMutator(RandomSource& random) : random_(random) {}
 
-  /// \return the text of a document with up to three of its values changed, and at times damaged
-  /// bytes besides.
+  /// \return the text of the document with up to three values changed, sometimes also with a
+  /// repeated field or damaged bytes.
   std::string mutateJson(Json document) {
     for (std::uint64_t count = random_.below(4); count > 0; --count) {
       mutateValue(document);
@@ -33,10 +33,10 @@
     return random_.below(4) == 0 ? mutateBytes(std::move(text)) : text;
   }
 
-  /// \return the bytes with one to three of them, or pieces, changed.
+  /// \return the bytes with one to three bytes or byte ranges changed.
   std::string mutateBytes(std::string bytes) {
     for (std::uint64_t count = 1 + random_.below(3); count > 0; --count) {
-      mutatePiece(bytes);
+      mutateRange(bytes);
     }
     return bytes;
   }
@@ -47,30 +47,30 @@
     return list[random_.below(std::size(list))];
   }
 
-  std::string odd() { return pick(kOddTexts); }
+  std::string oddText() { return pick(kOddTexts); }
 
   static constexpr std::size_t kHugeBytes = 70000;
   static constexpr std::size_t kDepths[] = {31, 33, 2000};
 
   void mutateValue(Json& document) {
-    Json* place = &document;
-    // Walks down at random; a place near the root is chosen as often as one near the leaves.
-    while (place->is_structured() && !place->empty() && random_.below(5) != 0) {
-      const auto step = static_cast<std::ptrdiff_t>(random_.below(place->size()));
-      if (place->is_object() && random_.below(6) == 0) {
-        place->erase(std::next(place->begin(), step));
+    Json* node = &document;
+    // Descends position random, so that values of all depths are changed.
+    while (node->is_structured() && !node->empty() && random_.below(5) != 0) {
+      const auto step = static_cast<std::ptrdiff_t>(random_.below(node->size()));
+      if (node->is_object() && random_.below(6) == 0) {
+        node->erase(std::next(node->begin(), step));
         return;
       }
-      place = &*std::next(place->begin(), step);
+      node = &*std::next(node->begin(), step);
     }
-    if (place->is_number_integer() && random_.below(3) == 0) {
-      *place = place->get<double>();  // The same number, written with a fraction of zero.
-    } else if (place->is_object() && random_.below(3) != 0) {
-      (*place)["added" + std::to_string(random_.below(3))] = oddValue();
-    } else if (place->is_array() && !place->empty() && random_.below(2) == 0) {
-      place->push_back(place->front());
+    if (node->is_number_integer() && random_.below(3) == 0) {
+      *node = node->get<double>();  // The same number, written with the fraction `.0`.
+    } else if (node->is_object() && random_.below(3) != 0) {
+      (*node)["added" + std::to_string(random_.below(3))] = oddValue();
+    } else if (node->is_array() && !node->empty() && random_.below(2) == 0) {
+      node->push_back(node->front());
     } else {
-      *place = oddValue();
+      *node = oddValue();
     }
   }
 
@@ -97,15 +97,15 @@
         return nested;
       }
       case 5:
-        return random_.below(4) == 0 ? Json(std::string(kHugeBytes, 'h')) : Json(odd());
+        return random_.below(4) == 0 ? Json(std::string(kHugeBytes, 'h')) : Json(oddText());
       case 6:
-        return Json{{"service", odd()}, {"weight", 1}, {"name", odd()}};
+        return Json{{"service", oddText()}, {"weight", 1}, {"name", oddText()}};
       default:
-        return odd();
+        return oddText();
     }
   }
 
-  /// Writes the first field of an object once more, with another value.
+  /// Repeats the first field of an object with another value.
   void duplicateField(std::string& text) {
     const std::size_t open = text.find("{\"", random_.below(text.size() + 1));
     const std::size_t end = open == std::string::npos ? open : text.find('"', open + 2);
@@ -115,29 +115,29 @@
     }
   }
 
-  void mutatePiece(std::string& bytes) {
-    const std::size_t at = random_.below(bytes.size() + 1);
-    const std::size_t length = std::min<std::size_t>(random_.below(9), bytes.size() - at);
+  void mutateRange(std::string& bytes) {
+    const std::size_t position = random_.below(bytes.size() + 1);
+    const std::size_t length = std::min<std::size_t>(random_.below(9), bytes.size() - position);
     switch (random_.below(7)) {
       case 0:
-        bytes.resize(at);
+        bytes.resize(position);
         return;
       case 1:
-        bytes.erase(at, length);
+        bytes.erase(position, length);
         return;
       case 2:
-        bytes.insert(at, bytes.substr(at, length));
+        bytes.insert(position, bytes.substr(position, length));
         return;
       case 3:
-        bytes.insert(at, pick(kOddBytes));
+        bytes.insert(position, pick(kOddBytes));
         return;
       case 4:
-        bytes.insert(at, pick(kDepths), random_.below(2) == 0 ? '[' : '{');
+        bytes.insert(position, pick(kDepths), random_.below(2) == 0 ? '[' : '{');
         return;
       default:
-        if (at < bytes.size()) {
-          bytes[at] =
-              static_cast<char>(static_cast<std::uint8_t>(bytes[at]) ^ (1U << random_.below(8)));
+        if (position < bytes.size()) {
+          bytes[position] = static_cast<char>(static_cast<std::uint8_t>(bytes[position]) ^
+                                              (1U << random_.below(8)));
         }
         return;
     }
--- a/tests/platform/documents_fuzz_test.cpp
+++ b/tests/platform/documents_fuzz_test.cpp
@@ -1,8 +1,8 @@
-// Damaged documents of all kinds, drawn by seed, for every decoder of what others write: nothing
-// throws, and what is accepted is what was written, within its range.
+// Guards against decoders that throw on damaged documents, or that accept a value that differs from
+// the document or is out of range.
 //
-// `GORSETRAIL_FUZZ_SECONDS=300 GORSETRAIL_FUZZ_SEED=7 test_platform -g Fuzz` runs longer,
-// over the seeds from that one on, and prints how many documents were read.
+// `GORSETRAIL_FUZZ_SECONDS=300 GORSETRAIL_FUZZ_SEED=7 test_platform -g Fuzz` runs for 300 s over
+// the seeds from 7 on and prints the number of documents.
 #include <cmath>
 #include <optional>
 #include <string>
@@ -25,78 +25,81 @@
 
 namespace {
 
-bool isSpan(Duration span) { return span >= Duration::zero() && span <= kMaximumDuration; }
+bool isValidDuration(Duration span) { return span >= Duration::zero() && span <= kMaximumDuration; }
 
-constexpr std::uint64_t kMostCount = 1'000'000;
+constexpr std::uint64_t kMaximumCount = 1'000'000;
 
-const Json kWholeRegistration = Json::parse(gorsetrail::testing::kRegistration);
-const Json kWholeConfiguration = Json::parse(gorsetrail::testing::kConfiguration);
-const Json kListing = Json::parse(
+const Json kValidRegistration = Json::parse(gorsetrail::testing::kRegistration);
+const Json kValidConfiguration = Json::parse(gorsetrail::testing::kConfiguration);
+const Json kListingResponse = Json::parse(
     R"({"items":[{"privateKey":"config","value":"aGk=","offset":4},{"privateKey":"a","value":"",
      "offset":5}],"hasMore":false,"end":6})");
-const Json kAppend = Json::parse(R"({"offset":840,"end":842})");
-const Json kGone = Json::parse(R"({"first":12})");
-const std::string kRecords("\0\0\0\0\0\0\3\x4a\0\0\0\0\0\0\0\7\0\0\0\2ab\0\0\0\1c\0\0\0\0", 31);
+const Json kAppendResponse = Json::parse(R"({"offset":840,"end":842})");
+const Json kCompactionResponse = Json::parse(R"({"first":12})");
+const std::string kReadResponse("\0\0\0\0\0\0\3\x4a\0\0\0\0\0\0\0\7\0\0\0\2ab\0\0\0\1c\0\0\0\0",
+                                31);
 
-/// A second reading, field by field and without the product's readers.
-bool isWholeBetween(const Json& object, const char* name, double least, double most) {
+/// Independent checks of a decoded document that do not use `ObjectReader`.
+bool hasIntegerBetween(const Json& object, const char* name, double least, double most) {
   return object.contains(name) && object[name].is_number_integer() &&
          object[name].get<double>() >= least && object[name].get<double>() <= most;
 }
-bool hasText(const Json& object, const char* name, const std::string& value) {
+bool hasString(const Json& object, const char* name, const std::string& value) {
   return object.contains(name) && object[name].is_string() && object[name] == value;
 }
 
 std::string faultOfEntry(const routing::ReplicaEntry& entry, const Json& written) {
-  if (!written.is_object() || !hasText(written, "service", entry.service) ||
-      !hasText(written, "address", entry.address) || !hasText(written, "zone", entry.zone)) {
-    return "a text differs";
+  if (!written.is_object() || !hasString(written, "service", entry.service) ||
+      !hasString(written, "address", entry.address) || !hasString(written, "zone", entry.zone)) {
+    return "a string differs";
   }
   if (!isName(entry.service) || !isName(entry.zone) || !http::isUsableAddress(entry.address)) {
-    return "a text is none";
+    return "a name or an address is invalid";
   }
-  if (!hasText(written, "state", entry.draining ? "draining" : "ready")) {
+  if (!hasString(written, "state", entry.draining ? "draining" : "ready")) {
     return "the state differs";
   }
-  if (written.contains("slots")
-          ? !isWholeBetween(written, "slots", 0, kMostCount) || written["slots"] != entry.slots
-          : entry.slots != 1) {
+  if (written.contains("slots") ? !hasIntegerBetween(written, "slots", 0, kMaximumCount) ||
+                                      written["slots"] != entry.slots
+                                : entry.slots != 1) {
     return "slots differ";
   }
   if (written.contains("born") != entry.startedAt.has_value() ||
-      (entry.startedAt && (!isWholeBetween(written, "born", 0, 253402300799999.0) ||
+      (entry.startedAt && (!hasIntegerBetween(written, "born", 0, 253402300799999.0) ||
                            written["born"] != entry.startedAt->value()))) {
     return "born differs";
   }
   if (written.contains("coldRemainingMs") != entry.coldFor.has_value() ||
-      (entry.coldFor && (!isSpan(*entry.coldFor) || !written["coldRemainingMs"].is_number() ||
-                         std::abs(toMilliseconds(*entry.coldFor) -
-                                  written["coldRemainingMs"].get<double>()) > 0.002))) {
+      (entry.coldFor &&
+       (!isValidDuration(*entry.coldFor) || !written["coldRemainingMs"].is_number() ||
+        std::abs(toMilliseconds(*entry.coldFor) - written["coldRemainingMs"].get<double>()) >
+            0.002))) {
     return "coldRemainingMs differs";
   }
-  if ((written.contains("callSeq") && !isWholeBetween(written, "callSeq", 0, 1.9e19)) ||
+  if ((written.contains("callSeq") && !hasIntegerBetween(written, "callSeq", 0, 1.9e19)) ||
       (written.contains("version") && !written["version"].is_string())) {
-    return "a field that is not used is of a wrong type";
+    return "an unused field has a wrong type";
   }
   return {};
 }
 
 std::string faultOfRoute(const routing::Route& route, const Json& written) {
-  if (!hasText(written, "name", route.name) || !hasText(written, "host", route.host) ||
-      !hasText(written, "pathPrefix", route.pathPrefix)) {
-    return "a route's text differs";
+  if (!hasString(written, "name", route.name) || !hasString(written, "host", route.host) ||
+      !hasString(written, "pathPrefix", route.pathPrefix)) {
+    return "a string of a route differs";
   }
-  if (!isSpan(route.timeout) || !isSpan(route.targetLatency)) {
-    return "a route's span is out of range";
+  if (!isValidDuration(route.timeout) || !isValidDuration(route.targetLatency)) {
+    return "a duration of a route is out of range";
   }
-  if (route.priority > kMostCount || route.maximumAttempts > kMostCount || route.services.empty()) {
-    return "a route's count is out of range";
+  if (route.priority > kMaximumCount || route.maximumAttempts > kMaximumCount ||
+      route.services.empty()) {
+    return "a count of a route is out of range";
   }
   const Json regions = written.value("allowedRegions", Json());
   if (regions.is_null()
           ? !route.allowedRegions.empty()
           : !regions.is_array() || (route.allowedRegions.empty() != regions.empty())) {
-    return "a route's limit to regions differs";
+    return "the allowed regions of a route differ";
   }
   for (const routing::WeightedService& part : route.services) {
     if (!(part.weight >= 0 && part.weight <= 1e12)) {
@@ -107,7 +110,7 @@
 }
 
 std::string faultOfConfiguration(const routing::Configuration& read, const Json& written) {
-  if (!written.is_object() || !isWholeBetween(written, "version", 0, 1.9e19) ||
+  if (!written.is_object() || !hasIntegerBetween(written, "version", 0, 1.9e19) ||
       written["version"] != read.version.value()) {
     return "the version differs";
   }
@@ -121,9 +124,9 @@
   }
   for (const auto& [name, service] : read.services) {
     const double rate = service.coldRequestsPerSecond;
-    if (!isSpan(service.coldTime) || !(rate >= 0 && rate <= 1e12) ||
-        service.maximumConnections > kMostCount) {
-      return "a service's number is out of range";
+    if (!isValidDuration(service.coldTime) || !(rate >= 0 && rate <= 1e12) ||
+        service.maximumConnections > kMaximumCount) {
+      return "a number of a service is out of range";
     }
   }
   const Json tenants = written.value("tenants", Json());
@@ -144,7 +147,7 @@
   StoreCalls store{client, "10.200.1.7:8142"};
 
   void teardown() override {
-    // What it keeps was allocated without the check, and is freed without it.
+    // Frees the exchanges before leak checks are on again, because they were allocated without.
     client.exchanges.clear();
     client.exchanges.shrink_to_fit();
     FuzzFixture::teardown();
@@ -152,7 +155,7 @@
 };
 
 TEST(DocumentsFuzz, registrations) {
-  checkAll("registration", mutationsOf(kWholeRegistration), [this](const std::string& document) {
+  checkAll("registration", mutationsOf(kValidRegistration), [this](const std::string& document) {
     const auto read = adapter.readReplicaEntry("i-1", document);
     if (!succeeded(read)) {
       return std::string(errorOf(read).remedy.empty() ? "no remedy" : "");
@@ -161,34 +164,36 @@
   });
 }
 
-TEST(DocumentsFuzz, idsOfReplicas) {
+TEST(DocumentsFuzz, replicaIds) {
   const std::string id = "i-7f3a91c2";
-  const std::string document = kWholeRegistration.dump();
+  const std::string document = kValidRegistration.dump();
   checkAll("id", bytesOf(id), [&](const std::string& mutated) {
     const bool isRead = succeeded(adapter.readReplicaEntry(mutated, document));
-    return std::string(isRead == isName(mutated) ? "" : "an id that is no name is read");
+    return std::string(
+        isRead == isName(mutated) ? "" : "an invalid id is accepted, or a valid one rejected");
   });
 }
 
-TEST(DocumentsFuzz, registrationsThatCountAsTheSame) {
-  std::string before = kWholeRegistration.dump();
-  checkAll("same registration", mutationsOf(kWholeRegistration), [&](const std::string& document) {
+TEST(DocumentsFuzz, equalRegistrations) {
+  std::string before = kValidRegistration.dump();
+  checkAll("same registration", mutationsOf(kValidRegistration), [&](const std::string& document) {
     const std::string other = std::exchange(before, document);
-    const std::string original = kWholeRegistration.dump();
+    const std::string original = kValidRegistration.dump();
     for (const std::string& left : {other, original}) {
       const bool same = adapter.sameRegistration(left, document);
       if (same != adapter.sameRegistration(document, left)) {
-        return std::string("not the same the other way round");
+        return std::string("the comparison is not symmetric");
       }
       const auto one = adapter.readReplicaEntry("i-1", left);
       const auto two = adapter.readReplicaEntry("i-1", document);
       if (same && succeeded(one) != succeeded(two)) {
-        return "the same, and only one can be read; the other: " + printable(left);
+        return "equal registrations, of which only one can be decoded; the other: " +
+               printable(left);
       }
       if (same && succeeded(one)) {
         const std::string fault = faultOfEntry(valueOf(one), Json::parse(document, nullptr, false));
         if (!fault.empty()) {
-          return "the same, and read differently: " + fault;
+          return "equal registrations are decoded differently: " + fault;
         }
       }
     }
@@ -197,7 +202,7 @@
 }
 
 TEST(DocumentsFuzz, configurations) {
-  checkAll("configuration", mutationsOf(kWholeConfiguration), [this](const std::string& document) {
+  checkAll("configuration", mutationsOf(kValidConfiguration), [this](const std::string& document) {
     const auto read = adapter.readConfiguration(document);
     if (!succeeded(read)) {
       return std::string(errorOf(read).remedy.empty() ? "no remedy" : "");
@@ -207,7 +212,7 @@
 }
 
 TEST(DocumentsFuzz, listings) {
-  checkAll("listing", mutationsOf(kListing), [this](const std::string& body) {
+  checkAll("listing", mutationsOf(kListingResponse), [this](const std::string& body) {
     std::string fault;
     store.newest({{"keyed.op", 0}, "", seconds(1)},
                  [&](const logstore::StoreResult<logstore::NewestReply>& result) {
@@ -221,7 +226,7 @@
                    for (std::size_t index = 0; fault.empty() && index < items.size(); ++index) {
                      const logstore::KeyedItem& item = reply->items[index];
                      const std::string value = items[index]["value"];
-                     const bool same = hasText(items[index], "privateKey", item.key) &&
+                     const bool same = hasString(items[index], "privateKey", item.key) &&
                                        item.value == decodeBase64(value).value_or(value);
                      fault = same ? "" : "an item differs";
                    }
@@ -233,13 +238,13 @@
 }
 
 TEST(DocumentsFuzz, appends) {
-  checkAll("append", mutationsOf(kAppend), [this](const std::string& body) {
+  checkAll("append", mutationsOf(kAppendResponse), [this](const std::string& body) {
     std::string fault;
     store.append({{"work", 3}, {"ab"}, seconds(1)},
                  [&](const logstore::StoreResult<logstore::AppendReply>& result) {
                    const auto* const reply = std::get_if<logstore::AppendReply>(&result);
                    const Json written = Json::parse(body, nullptr, false);
-                   if (reply != nullptr && (!isWholeBetween(written, "offset", 0, 1.2e18) ||
+                   if (reply != nullptr && (!hasIntegerBetween(written, "offset", 0, 1.2e18) ||
                                             written["offset"] != reply->offset)) {
                      fault = "the offset differs";
                    }
@@ -250,8 +255,8 @@
   });
 }
 
-TEST(DocumentsFuzz, recordsAndCompactions) {
-  checkAll("records", bytesOf(kRecords), [this](const std::string& body) {
+TEST(DocumentsFuzz, recordsAndCompactionResponses) {
+  checkAll("records", bytesOf(kReadResponse), [this](const std::string& body) {
     std::string fault;
     store.read({{"work", 3}, 0, Duration::zero(), seconds(1)},
                [&](const logstore::StoreResult<logstore::ReadReply>& result) {
@@ -261,14 +266,14 @@
                      bytes += 4 + record.size();
                      logstore::decodeKeyedRecord(record);
                    }
-                   fault = bytes == body.size() ? "" : "bytes were passed over";
+                   fault = bytes == body.size() ? "" : "bytes were skipped";
                  }
                });
     client.last().handler.onDone({200, {}, body});
     client.exchanges.clear();
     return fault;
   });
-  checkAll("compaction", mutationsOf(kGone), [this](const std::string& body) {
+  checkAll("compaction", mutationsOf(kCompactionResponse), [this](const std::string& body) {
     std::string fault;
     store.read({{"work", 3}, 0, Duration::zero(), seconds(1)},
                [&](const logstore::StoreResult<logstore::ReadReply>& result) {
--- a/tests/platform/documents_test.cpp
+++ b/tests/platform/documents_test.cpp
@@ -1,4 +1,4 @@
-// Configurations and registrations in the platform's JSON.
+// Guards the decoding of valid configurations and replica registrations.
 #include "platform/documents.h"
 
 #include <CppUTest/TestHarness.h>
@@ -29,10 +29,10 @@
   const auto read = adapter.readConfiguration(kConfiguration);
   const routing::Configuration& configuration = valueOf(read);
   LONGS_EQUAL(7, configuration.version.value());
-  const routing::Route& turns = configuration.routes[0];
-  CHECK(turns.kind == routing::RouteKind::Streaming);
-  CHECK_TRUE(turns.persisted && turns.resumable && turns.isIdempotent());
-  LONGS_EQUAL(0, turns.priority);
+  const routing::Route& streaming = configuration.routes[0];
+  CHECK(streaming.kind == routing::RouteKind::Streaming);
+  CHECK_TRUE(streaming.persisted && streaming.resumable && streaming.isIdempotent());
+  LONGS_EQUAL(0, streaming.priority);
   const routing::Route& split = configuration.routes[1];
   LONGS_EQUAL(2, split.services.size());
   DOUBLES_EQUAL(90, split.services[0].weight, 1e-9);
@@ -43,17 +43,17 @@
   CHECK_FALSE(configuration.services.at("n").engine.has_value());
 }
 
-TEST(Documents, readsWhenAReplicaStartedWhereItTellsThat) {
-  const auto told = adapter.readReplicaEntry(
+TEST(Documents, readsTheOptionalStartTimeOfAReplica) {
+  const auto started = adapter.readReplicaEntry(
       "i-1",
       R"({"service":"m","address":"10.0.0.1:80","zone":"z","state":"ready","born":1767225600123})");
-  LONGS_EQUAL(1767225600123, valueOf(told).startedAt->value());
-  const auto untold = adapter.readReplicaEntry(
+  LONGS_EQUAL(1767225600123, valueOf(started).startedAt->value());
+  const auto withoutStart = adapter.readReplicaEntry(
       "i-1", R"({"service":"m","address":"10.0.0.1:80","zone":"z","state":"ready"})");
-  CHECK_FALSE(valueOf(untold).startedAt.has_value());
+  CHECK_FALSE(valueOf(withoutStart).startedAt.has_value());
 }
 
-TEST(Documents, readsWhereRequestsMayGoAndWhatColdReplicasBear) {
+TEST(Documents, readsAllowedRegionsAndColdReplicaLimits) {
   const auto read = adapter.readConfiguration(
       R"({"version":1,"routes":[{"name":"r","host":"a","pathPrefix":"/x/","service":"m",
        "allowedRegions":["west","east"]}],
@@ -68,13 +68,13 @@
   CHECK_TRUE(named->allowedRegions.contains("west"));
 }
 
-TEST(Documents, knowsWhichKeysEvacuateAZone) {
+TEST(Documents, readsTheZoneOfAnEvacuationKey) {
   STRCMP_EQUAL("hall-a", adapter.evacuatedZoneOf("evacuate/hall-a").value().c_str());
   CHECK_FALSE(adapter.evacuatedZoneOf("evacuate/").has_value());
   CHECK_FALSE(adapter.evacuatedZoneOf("config").has_value());
 }
 
-TEST(Documents, readsHowLongAReplicaStaysCold) {
+TEST(Documents, readsTheRemainingWarmUpTime) {
   const auto cold = adapter.readReplicaEntry(
       "i-1",
       R"({"service":"m","address":"10.0.0.9:8080","zone":"z","state":"ready","coldRemainingMs":2500})");
@@ -82,13 +82,13 @@
   const auto warm = adapter.readReplicaEntry(
       "i-1", R"({"service":"m","address":"10.0.0.9:8080","zone":"z","state":"ready"})");
   CHECK_FALSE(valueOf(warm).coldFor.has_value());
-  const auto said = adapter.readReplicaEntry(
+  const auto zero = adapter.readReplicaEntry(
       "i-1",
       R"({"service":"m","address":"10.0.0.9:8080","zone":"z","state":"ready","coldRemainingMs":0})");
-  CHECK(valueOf(said).coldFor == Duration::zero());
+  CHECK(valueOf(zero).coldFor == Duration::zero());
 }
 
-TEST(Documents, refusesWhatIsNoConfiguration) {
+TEST(Documents, rejectsInvalidConfigurations) {
   for (const char* broken : {"", "{", "[]", R"({"version":1})", R"({"version":"x","routes":[]})"}) {
     const auto read = adapter.readConfiguration(broken);
     CHECK_FALSE(succeeded(read));
@@ -105,7 +105,7 @@
   CHECK_FALSE(succeeded(adapter.readReplicaEntry("i-1", "{}")));
 }
 
-TEST(Documents, readsTenantsWithoutKeepingTheirKeys) {
+TEST(Documents, keepsOnlyDigestsOfApiKeys) {
   const auto read = adapter.readConfiguration(
       R"({"version":7,"routes":[],"services":[],"tenants":[
           {"name":"hule930","apiKeys":["first","second"],"priority":1,"ratePerS":381,"burst":40},
@@ -121,7 +121,7 @@
   CHECK_FALSE(open->priority.has_value());
 }
 
-TEST(Documents, asksForNoKeysWithoutTenantsAndForKeysWithAnEmptyList) {
+TEST(Documents, distinguishesAnAbsentTenantListFromAnEmptyOne) {
   const auto without = adapter.readConfiguration(R"({"version":1,"routes":[],"services":[]})");
   CHECK(valueOf(without).tenants == nullptr);
   const auto empty =
@@ -129,7 +129,7 @@
   CHECK(valueOf(empty).tenants != nullptr);
 }
 
-TEST(Documents, refusesAConfigurationWithContradictingTenantsWhole) {
+TEST(Documents, rejectsAConfigurationWithAnApiKeyOfTwoTenants) {
   const auto read = adapter.readConfiguration(
       R"({"version":7,"routes":[],"services":[],"tenants":[
           {"name":"a","apiKeys":["shared-key"]},{"name":"b","apiKeys":["shared-key"]}]})");
--- a/tests/platform/heads_test.cpp
+++ b/tests/platform/heads_test.cpp
@@ -1,4 +1,4 @@
-// Requests and answers in the platform's words.
+// Guards the translation between the platform's HTTP headers and the edge's types.
 #include "platform/heads.h"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
   return "<none>";
 }
 
-http::ServerRequest turn() {
+http::ServerRequest makeRequest() {
   return {"POST",
           "/lohu930/4b?x=1",
           {{"Host", "ficu95.example"},
@@ -44,8 +44,8 @@
   HeadAdapter adapter{hasher};
 };
 
-TEST(Heads, readsATurn) {
-  const edge::CallRequest call = adapter.readRequest(turn());
+TEST(Heads, readsARequest) {
+  const edge::CallRequest call = adapter.readRequest(makeRequest());
   STRCMP_EQUAL("ficu95.example", call.host.c_str());
   STRCMP_EQUAL("e5b2907c14da6f38", call.requestId.c_str());
   STRCMP_EQUAL("40c8f1a7b3e9265d", call.previousTurn.c_str());
@@ -56,8 +56,8 @@
   CHECK(call.path() == "/lohu930/4b");
 }
 
-TEST(Heads, forwardsAllButWhatBelongsToOneConnectionOrIsItsOwn) {
-  const edge::CallRequest call = adapter.readRequest(turn());
+TEST(Heads, forwardsRequestHeadersExceptHopByHopAndEdgeOnlyOnes) {
+  const edge::CallRequest call = adapter.readRequest(makeRequest());
   edge::Dispatch dispatch;
   dispatch.address = "10.0.0.1:80";
   dispatch.replicaId = "i-1";
@@ -74,13 +74,13 @@
   STRCMP_EQUAL("<none>", headerOf(sent.headers, "Last-Event-Id").c_str());
 }
 
-TEST(Heads, readsAReplicasPromise) {
+TEST(Heads, readsNotExecutedAndEventStreamOfAResponse) {
   CHECK_TRUE(adapter.readReplicaHead(503, {{"gorsetrail-not-executed", "1"}}).notExecuted);
   CHECK_FALSE(adapter.readReplicaHead(503, {}).notExecuted);
   CHECK_TRUE(adapter.readReplicaHead(200, {{"Content-Type", "text/event-stream; x"}}).eventStream);
 }
 
-TEST(Heads, handsTheSealOnAndNothingOfTheConnection) {
+TEST(Heads, forwardsResponseHeadersExceptHopByHopOnes) {
   const auto headers = adapter.clientHeaders({{"Gorsetrail-Response-Seal", "3e1b"},
                                               {"Keep-Alive", "timeout=5"},
                                               {"Transfer-Encoding", "chunked"}});
@@ -88,7 +88,7 @@
   STRCMP_EQUAL("3e1b", headers.front().value.c_str());
 }
 
-TEST(Heads, saysWhenToComeBackInFractionsOfASecond) {
+TEST(Heads, sendsRetryAfterWithFractionsOfASecond) {
   const auto response = adapter.makeRefusal({}, {503, "replicas_full", milliseconds(150)});
   STRCMP_EQUAL("0.150", headerOf(response.headers, "Retry-After").c_str());
   STRCMP_EQUAL(
@@ -96,7 +96,7 @@
       headerOf(adapter.makeRefusal({}, {504, "deadline", {}}).headers, "Retry-After").c_str());
 }
 
-TEST(Heads, readsADirectoryQuestionAndAnswersIt) {
+TEST(Heads, readsADirectoryQueryAndAnswersIt) {
   const auto query = adapter.readDirectoryQuery(
       {"GET", "/v1/resolve?name=a.example&region=r&zone=hall-a", {}, ""});
   STRCMP_EQUAL("hall-a", query->zone.c_str());
@@ -106,25 +106,25 @@
                adapter.makeDirectoryAnswer({"10.1.0.38:8149"}, 1.0).body.c_str());
 }
 
-TEST(Heads, handsNothingOnThatOnlyTheSystemSets) {
-  const char* const systemHeaders[] = {"Gorsetrail-Deadline-Ms",
-                                       "Gorsetrail-Expect-Instance",
-                                       "Gorsetrail-Expect-Version",
-                                       "Gorsetrail-Request-Priority",
-                                       "Gorsetrail-Key",
-                                       "Gorsetrail-Tenant",
-                                       "Gorsetrail-Hold",
-                                       "Gorsetrail-Pin-Ms",
-                                       "Gorsetrail-Kv-Backup",
-                                       "Kv-From",
-                                       "Kv-Fetch",
-                                       "Last-Event-Id"};
-  for (const std::string name : systemHeaders) {
+TEST(Heads, dropsClientHeadersThatOnlyTheEdgeSets) {
+  const char* const edgeOnlyHeaders[] = {"Gorsetrail-Deadline-Ms",
+                                         "Gorsetrail-Expect-Instance",
+                                         "Gorsetrail-Expect-Version",
+                                         "Gorsetrail-Request-Priority",
+                                         "Gorsetrail-Key",
+                                         "Gorsetrail-Tenant",
+                                         "Gorsetrail-Hold",
+                                         "Gorsetrail-Pin-Ms",
+                                         "Gorsetrail-Kv-Backup",
+                                         "Kv-From",
+                                         "Kv-Fetch",
+                                         "Last-Event-Id"};
+  for (const std::string name : edgeOnlyHeaders) {
     std::string lower = name;
     std::string upper = name;
     std::transform(name.begin(), name.end(), lower.begin(), ::tolower);
     std::transform(name.begin(), name.end(), upper.begin(), ::toupper);
-    http::ServerRequest request = turn();
+    http::ServerRequest request = makeRequest();
     for (const std::string& spelled : {name, lower, upper, name}) {
       request.headers.push_back({spelled, "forged"});
     }
@@ -137,8 +137,8 @@
   }
 }
 
-TEST(Heads, namesTheTenantToTheReplicaAndNeverShowsTheKey) {
-  http::ServerRequest request = turn();
+TEST(Heads, sendsTheTenantButNeverTheApiKeyToReplicas) {
+  http::ServerRequest request = makeRequest();
   request.headers.push_back({"gorsetrail-key", "the-key"});
   request.headers.push_back({"Gorsetrail-Tenant", "another"});
   const edge::CallRequest call = adapter.readRequest(std::move(request));
@@ -152,26 +152,26 @@
   }
 }
 
-TEST(Heads, twoKeysAreNoKey) {
-  http::ServerRequest request = turn();
+TEST(Heads, ignoresRepeatedApiKeys) {
+  http::ServerRequest request = makeRequest();
   request.headers.push_back({"Gorsetrail-Key", "one"});
   request.headers.push_back({"GORSETRAIL-KEY", "one"});
   CHECK_FALSE(adapter.readRequest(std::move(request)).apiKey.has_value());
 }
 
-TEST(Heads, noticesHeadersThatMayStandOnlyOnce) {
-  CHECK_FALSE(adapter.readRequest(turn()).hasConflictingHeaders);
+TEST(Heads, detectsRepeatedSingleValueHeaders) {
+  CHECK_FALSE(adapter.readRequest(makeRequest()).hasConflictingHeaders);
   for (const char* name : {"host", "Gorsetrail-Request-Id", "GORSETRAIL-PROGRAM-ID",
                            "Gorsetrail-Previous-Turn", "Gorsetrail-Token-Budget"}) {
-    http::ServerRequest request = turn();
+    http::ServerRequest request = makeRequest();
     request.headers.push_back({name, "another"});
     CHECK_TRUE_TEXT(adapter.readRequest(std::move(request)).hasConflictingHeaders, name);
   }
 }
 
-TEST(Heads, takesNoNumberByHalfAndNoneBeyondItsRange) {
+TEST(Heads, rejectsMalformedNumbersAndClampsLargeOnes) {
   const auto readWith = [this](const char* name, const char* value) {
-    http::ServerRequest request = turn();
+    http::ServerRequest request = makeRequest();
     for (http::Header& header : request.headers) {
       header.value = header.name == name ? value : header.value;
     }
@@ -193,7 +193,7 @@
   }
 }
 
-TEST(Heads, answersWithTextsThatAreNoUtf8) {
+TEST(Heads, respondsDespiteInvalidUtf8) {
   CHECK(adapter.makeDirectoryAnswer({"10.1.0.38:8149", "\xff"}, 1.0).body.starts_with("{"));
   CHECK(adapter.makeRefusal({}, {503, "\xfe", {}}).body.starts_with("{"));
 }
--- a/tests/platform/process_start_test.cpp
+++ b/tests/platform/process_start_test.cpp
@@ -1,8 +1,5 @@
-// A reload that comes while the process starts. The settings file changes and SIGHUP follows before
-// the process has come to watch the file: the signal ended it (its default action), and a change
-// made after the file was read was never noticed, since the watcher took what it found at its own
-// start for what had been read. Here the process waits in reading its settings, from a pipe, while
-// both happen.
+// Guards against a reload during startup that ends the process or is missed. The settings file is a
+// pipe, so that SIGHUP and the change arrive while the process still reads it.
 #include <fcntl.h>
 #include <signal.h>
 #include <sys/stat.h>
@@ -22,10 +19,10 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kStep{20};
-constexpr int kMostSteps = 500;
+constexpr std::chrono::milliseconds kPollInterval{20};
+constexpr int kMaximumPolls = 500;
 
-/// An address that only this process uses.
+/// \return a loopback address derived from the process id, so that parallel runs do not collide.
 std::string ownIp() {
   constexpr int kByte = 256;
   const int process = ::getpid();
@@ -43,11 +40,11 @@
 }
 
 bool waitUntil(const std::function<bool()>& isDone) {
-  for (int step = 0; step < kMostSteps; ++step) {
+  for (int poll = 0; poll < kMaximumPolls; ++poll) {
     if (isDone()) {
       return true;
     }
-    std::this_thread::sleep_for(kStep);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return false;
 }
@@ -99,7 +96,7 @@
 
 TEST(ProcessStart, aReloadWhileItStartsIsTakenAndDoesNotEndIt) {
   startProcess();
-  // Opening a pipe to write succeeds once the process has opened it to read.
+  // A non-blocking open for writing succeeds once the process has opened the pipe for reading.
   int pipe = -1;
   CHECK_TRUE(waitUntil([&] {
     pipe = ::open(settings.c_str(), O_WRONLY | O_NONBLOCK);
--- a/tests/platform/records_fuzz_test.cpp
+++ b/tests/platform/records_fuzz_test.cpp
@@ -1,5 +1,5 @@
-// Damaged settings, heads, keys and records of other nodes, drawn by seed: nothing throws, and what
-// is accepted is what was written, within its range. Longer runs: see documents_fuzz_test.cpp.
+// Guards against decoders of settings, headers, keys and other nodes' records that throw, or that
+// accept wrong or out-of-range values. For longer runs see documents_fuzz_test.cpp.
 #include <cmath>
 #include <optional>
 #include <string>
@@ -23,7 +23,7 @@
 
 namespace {
 
-bool isSpan(std::optional<Duration> span) {
+bool isValidDuration(std::optional<Duration> span) {
   return !span || (*span >= Duration::zero() && *span <= kMaximumDuration);
 }
 
@@ -74,10 +74,10 @@
     for (const std::string& body : {heads.makeRefusal(call, {503, value, {}}).body,
                                     heads.makeDirectoryAnswer({value}, 1).body}) {
       if (!Json::accept(body)) {
-        return std::string("an answer is no JSON");
+        return std::string("a response is not valid JSON");
       }
     }
-    const bool right = isSpan(call.deadline) && isSpan(call.programTimeLeft) &&
+    const bool right = isValidDuration(call.deadline) && isValidDuration(call.programTimeLeft) &&
                        call.tokenBudget.value_or(0) <= std::uint64_t{1} << 50U &&
                        call.promptTokens <= std::uint64_t{1} << 50U &&
                        call.maximumTokens <= std::uint64_t{1} << 50U;
@@ -86,9 +86,9 @@
 }
 
 TEST(RecordsFuzz, memberRecords) {
-  const std::string whole =
+  const std::string encoded =
       edge::encodeMemberRecord({"node-1", "hall-a", "1.2.3.4:5", "1.2.3.4:6", true, 9, 0.5});
-  checkAll("member record", bytesOf(whole), [](const std::string& bytes) {
+  checkAll("member record", bytesOf(encoded), [](const std::string& bytes) {
     const auto read = edge::decodeMemberRecord(bytes);
     if (!succeeded(read)) {
       return std::string();
@@ -110,8 +110,8 @@
   digest.node = 7;
   digest.loads = {{1, 2}, {3, 4}};
   digest.troubles = {{5, 0.5, 2}};
-  const std::string whole = edge::encodeLoadDigest(digest);
-  checkAll("load digest", bytesOf(whole), [](const std::string& bytes) {
+  const std::string encoded = edge::encodeLoadDigest(digest);
+  checkAll("load digest", bytesOf(encoded), [](const std::string& bytes) {
     const auto read = edge::decodeLoadDigest(bytes);
     if (!succeeded(read)) {
       return std::string();
@@ -126,7 +126,7 @@
   });
 }
 
-TEST(RecordsFuzz, operatorsKeys) {
+TEST(RecordsFuzz, evacuationKeys) {
   const std::string key = "evacuate/hall-a";
   checkAll("operators' key", bytesOf(key), [this](const std::string& mutated) {
     const auto zone = adapter.evacuatedZoneOf(mutated);
--- a/tests/platform/settings_file_test.cpp
+++ b/tests/platform/settings_file_test.cpp
@@ -1,4 +1,4 @@
-// The platform's settings file: what is read, what may be missing, what is refused and how.
+// Guards the parsing of the settings file: values, optional keys, and errors that name the key.
 #include "platform/settings_file.h"
 
 #include <CppUTest/TestHarness.h>
@@ -8,7 +8,7 @@
 
 namespace {
 
-const std::string kWhole = R"(
+const std::string kValidSettings = R"(
 nodeName = "edge-hall-a-1"
 ip = "10.1.0.38"
 zone = "hall-a"
@@ -40,7 +40,7 @@
 }
 
 std::string without(const std::string& line) {
-  std::string text = kWhole;
+  std::string text = kValidSettings;
   const std::size_t at = text.find(line);
   return text.erase(at, text.find('\n', at) - at);
 }
@@ -49,8 +49,8 @@
 
 TEST_GROUP(SettingsFile){};
 
-TEST(SettingsFile, readsWhatTheMachineIsToldAndIgnoresTheRest) {
-  const auto result = parseSettings(kWhole, "local.toml");
+TEST(SettingsFile, readsSettingsAndIgnoresUnknownKeys) {
+  const auto result = parseSettings(kValidSettings, "local.toml");
   const auto& settings = std::get<edge::EdgeSettings>(result);
   STRCMP_EQUAL("hall-a", settings.zone.c_str());
   STRCMP_EQUAL("10.1.0.38:8149", settings.listen.clients.c_str());
@@ -62,7 +62,7 @@
   DOUBLES_EQUAL(1000, settings.linkMegabitsPerSecond, 0);
 }
 
-TEST(SettingsFile, namesEveryMissingKeyAtOnceWithARemedy) {
+TEST(SettingsFile, reportsAllMissingKeysWithRemedies) {
   const auto errors = errorsOf("[listen]\nreadiness = \"10.1.0.38:1\"\n");
   CHECK(errors.size() >= 4);
   for (const Error& error : errors) {
@@ -72,20 +72,20 @@
   }
 }
 
-TEST(SettingsFile, refusesAddressesThatAreNone) {
-  std::string text = kWhole;
+TEST(SettingsFile, rejectsInvalidAddresses) {
+  std::string text = kValidSettings;
   text.replace(text.find("10.200.1.7:8142"), 15, "store-of-theirs");
   const auto errors = errorsOf(text);
   LONGS_EQUAL(1, errors.size());
   STRCMP_EQUAL("local.toml: platform.address", errors.front().field.c_str());
 }
 
-TEST(SettingsFile, fallsBackWhereABoundIsMissing) {
+TEST(SettingsFile, usesDefaultsForMissingOptionalKeys) {
   CHECK(errorsOf(without("drainMs")).empty());
   CHECK(errorsOf(without("directory =")).empty());
 }
 
-TEST(SettingsFile, namesTheLineOfBrokenToml) {
+TEST(SettingsFile, namesTheLineOfInvalidToml) {
   const auto errors = errorsOf("nodeName = \"a\"\nzone = \n");
   LONGS_EQUAL(1, errors.size());
   STRCMP_CONTAINS("local.toml:2", errors.front().field.c_str());
--- a/tests/platform/store_calls_test.cpp
+++ b/tests/platform/store_calls_test.cpp
@@ -1,4 +1,4 @@
-// The store's calls and the framing of records.
+// Guards the HTTP requests to the log store and the decoding of its responses.
 #include "platform/store_calls.h"
 
 #include <optional>
@@ -31,7 +31,7 @@
   }
 };
 
-TEST(StoreCalls, framesRecordsForAnAppend) {
+TEST(StoreCalls, encodesRecordsForAnAppend) {
   append();
   STRCMP_EQUAL("/v1/log-append?topic=work&part=3", client.last().request.target.c_str());
   CHECK(client.last().request.body == std::string("\0\0\0\2ab\0\0\0\1c", 11));
@@ -51,13 +51,13 @@
   STRCMP_EQUAL("ab", reply.records[0].c_str());
 }
 
-TEST(StoreCalls, aCutRecordIsNoAnswer) {
+TEST(StoreCalls, treatsATruncatedRecordAsNoAnswer) {
   readFrom(0);
   answer(200, std::string("\0\0\0\0\0\0\0\1\0\0\0\0\0\0\0\0\0\0\0\5ab", 22));
   CHECK(std::get<StoreError>(*read).fault == StoreFault::NoAnswer);
 }
 
-TEST(StoreCalls, readsTheNewestOfEachKey) {
+TEST(StoreCalls, listsTheNewestRecordOfEachKey) {
   store.newest({{"keyed.op", 0}, "a key/1", seconds(1)},
                [this](StoreResult<NewestReply> result) { newest = std::move(result); });
   STRCMP_EQUAL("/v1/log-newest?topic=keyed.op&part=0&after=a%20key%2F1",
@@ -70,7 +70,7 @@
   LONGS_EQUAL(6, reply.end);
 }
 
-TEST(StoreCalls, namesFaults) {
+TEST(StoreCalls, mapsStatusCodesToFaults) {
   const std::vector<std::pair<unsigned, StoreFault>> cases = {{429, StoreFault::Throttled},
                                                               {503, StoreFault::Busy},
                                                               {410, StoreFault::Compacted},
@@ -85,7 +85,7 @@
   CHECK(std::get<StoreError>(*read).fault == StoreFault::NoAnswer);
 }
 
-TEST(StoreCalls, saysWhereTheHistoryBeginsAfterACompaction) {
+TEST(StoreCalls, readsTheFirstKeptOffsetAfterACompaction) {
   readFrom(0);
   answer(410, R"({"first":12})");
   LONGS_EQUAL(12, std::get<StoreError>(*read).firstKept);
--- a/tests/platform/whole_documents.h
+++ b/tests/platform/whole_documents.h
@@ -1,4 +1,4 @@
-/// \file Whole documents that tests damage.
+/// \file Valid documents from which tests derive damaged ones.
 #pragma once
 
 #include <string>
