--- a/tests/platform/document_mutator.h
+++ b/tests/platform/document_mutator.h
@@ -54,7 +54,7 @@
 
   void mutateValue(Json& document) {
     Json* node = &document;
-    // Descends position random, so that values of all depths are changed.
+    // Descends at random, so that values of all depths are changed.
     while (node->is_structured() && !node->empty() && random_.below(5) != 0) {
       const auto step = static_cast<std::ptrdiff_t>(random_.below(node->size()));
       if (node->is_object() && random_.below(6) == 0) {
--- a/tests/platform/documents_fuzz_test.cpp
+++ b/tests/platform/documents_fuzz_test.cpp
@@ -147,7 +147,7 @@
   StoreCalls store{client, "10.200.1.7:8142"};
 
   void teardown() override {
-    // Frees the exchanges before leak checks are on again, because they were allocated without.
+    // Freed while leak checks are off, because the exchanges were allocated while they were off.
     client.exchanges.clear();
     client.exchanges.shrink_to_fit();
     FuzzFixture::teardown();
