--- a/src/edge/call_request.h
+++ b/src/edge/call_request.h
@@ -13,7 +13,7 @@
 
 namespace gorsetrail::edge {
 
-/// One attempt of a client, as decoded from its HTTP request.
+/// One client request, as decoded from HTTP. A retry by the client is a separate request.
 struct CallRequest {
   std::string method;
   std::string target;  ///< Path and query, unchanged.
@@ -47,7 +47,7 @@
 /// Parameters of one dispatch of a request to a replica.
 struct Dispatch {
   std::string address;
-  std::string replicaId;       ///< A different replica at the same address must refuse the request.
+  std::string replicaId;       ///< Another replica at this address must refuse the request.
   Duration timeLeft;           ///< Until the client's deadline.
   std::uint32_t priority = 5;  ///< 0 is the most urgent.
   std::string lastEventId;     ///< Resume after this event; empty: from the start.
--- a/src/edge/edge_context.h
+++ b/src/edge/edge_context.h
@@ -34,7 +34,7 @@
 /// Limits and timeouts of one request.
 struct ExchangeKnobs {
   std::uint32_t maximumRefusedTries = 4;  ///< Attempts at replicas that did not run the request.
-  std::uint32_t maximumResumes = 3;
+  std::uint32_t maximumResumes = 3;       ///< Dispatches of a stream after interrupted runs.
   /// While the budget has room for this many turns, a turn is dispatched before its reservation is
   /// recorded.
   std::uint32_t ampleBudgetTurns = 3;
@@ -43,13 +43,15 @@
   /// How long a replica that refused a request is avoided; also the delay before the request is
   /// retried.
   Duration refusedReplicaAvoidTime = milliseconds(60);
-  Duration retryAfterFull = milliseconds(150);
-  Duration retryAfterStop = milliseconds(10);
-  Duration retryAfterOverload = milliseconds(400);
+  // Values of `Refusal::retryAfter`, by the reason of the refusal.
+  Duration retryAfterFull = milliseconds(150);      ///< No replica accepts the request now.
+  Duration retryAfterStop = milliseconds(10);       ///< This node is stopping.
+  Duration retryAfterOverload = milliseconds(400);  ///< Refused by admission control.
   /// A program that has used this share of its budget is treated as a probable infinite loop.
   double runawayShare = 0.75;
+  /// The history cannot be read, or the configuration is missing or stale.
   Duration retryAfterStore = milliseconds(250);
-  Duration retryAfterReservation = milliseconds(400);
+  Duration retryAfterReservation = milliseconds(400);  ///< The budget could not be reserved.
   /// Longest wait for a reservation while other reservations of its partition fail.
   Duration failingReservationTimeout = milliseconds(300);
   /// Longest wait for a reservation that may fail; a slow store still answers within this time.
@@ -62,7 +64,7 @@
   /// A dispatch without a response for this time counts as failed, so that other requests avoid the
   /// replica.
   Duration noResponseFailureTime = milliseconds(1000);
-  /// Time limit of the test connection; a replica that does not answer may have ended.
+  /// Timeout of the test connection.
   Duration reachabilityLimit = milliseconds(250);
   /// A route missing from a configuration older than this may have been added since.
   Duration maximumConfigurationAge = milliseconds(1800);
@@ -82,7 +84,7 @@
   EventLog& log;
   EdgeMetrics& metrics;
   EdgeCounters counters;
-  StoreReadTimes freshness;
+  StoreReadTimes freshness;  ///< Last successful reads of the store.
   ExchangeKnobs knobs;
   bool takesRequests = true;  ///< False during the last phase of a planned stop.
   TurnRetentionPolicy retention{};
--- a/src/edge/edge_daemon.cpp
+++ b/src/edge/edge_daemon.cpp
@@ -57,14 +57,14 @@
 }  // namespace
 
 EdgeDaemon::EdgeDaemon(boost::asio::io_context& context, EdgeSettings settings,
-                       EdgeDependencies parts, std::uint64_t seed)
+                       EdgeDependencies dependencies, std::uint64_t seed)
     : ioContext_(context),
       settings_(std::move(settings)),
       zones_(settings_.regionOfZone),
-      parts_(parts),
+      dependencies_(dependencies),
       timers_(services::makeTimerService(context)),
       clock_(steadyNow),
-      log_(parts.log, clock_, {}),
+      log_(dependencies.log, clock_, {}),
       // The system clock may jump backwards between two processes of a node. The failure detector
       // tolerates incarnations that are not increasing.
       peerMonitor_(
@@ -75,13 +75,13 @@
                  return settings_.uses(Mechanism::PeerProbes) && peerMonitor_.isSuspectedOrDead(ip);
                }),
       relayedStore_(
-          parts.peers,
+          dependencies.peers,
           [this](const logstore::PartitionAddress& partition) { return otherRelays(partition); },
           seed),
-      failoverStore_(parts.store, relayedStore_, clock_, {},
+      failoverStore_(dependencies.store, relayedStore_, clock_, {},
                      [this](logstore::StoreWay way) { onStorePathChanged(way); }),
       store_(failoverStore_, *timers_, clock_, storePaceOf(settings_), seed),
-      relayServer_(parts.store),
+      relayServer_(dependencies.store),
       announcer_(failoverStore_, *timers_, clock_, {kMemberTopic, 0},
                  [this](const std::string& address, logstore::AppendRequest request,
                         logstore::StoreCallback<logstore::AppendReply> callback) {
@@ -116,7 +116,8 @@
       localLedger_(store_, *timers_, clock_, ledgerKnobs(seed)),
       ledgerService_(localLedger_),
       ledgerPeers_(
-          parts_.peers, [this] { return membersListed_; }, [this] { return ledgerCandidates(); }),
+          dependencies_.peers, [this] { return membersListed_; },
+          [this] { return ledgerCandidates(); }),
       ledger_(ledgerService_, ledgerPeers_, *timers_, clock_, routedLedgerKnobs(), seed),
       ledgerServer_(ledgerService_),
       routes_(seed),
@@ -135,12 +136,12 @@
           [this](routing::LoadDigest digest) { fleetLoad_.onDigest(std::move(digest), clock_()); }),
       quotaExchange_(context, *timers_, clock_, quotaSources(), seed),
       staticShares_([this] { return quotaExchange_.ownShare(); }, clock_),
-      context_{parts.wire,
+      context_{dependencies.wire,
                routes_,
                placement_,
                ledger_,
                selectQuotaAdmission(),
-               parts.client,
+               dependencies.client,
                *timers_,
                clock_,
                log_,
@@ -225,9 +226,9 @@
 // An unreadable registration counts as changed, so that each node counts every write of it. The
 // heartbeats in such a record cannot be told from other changes.
 bool EdgeDaemon::isUnchangedRegistration(const std::string& older, const std::string& newer) const {
-  return parts_.documents.sameRegistration(older, newer) &&
+  return dependencies_.documents.sameRegistration(older, newer) &&
          (!unreadableRecords_.hasAny(RecordKind::Replica) ||
-          succeeded(parts_.documents.readReplicaEntry({}, newer)));
+          succeeded(dependencies_.documents.readReplicaEntry({}, newer)));
 }
 
 Result<Success> EdgeDaemon::start() {
@@ -346,11 +347,11 @@
 }
 
 logstore::PartitionAddress EdgeDaemon::configurationPartition() const {
-  return {parts_.documents.configurationTopic(), 0};
+  return {dependencies_.documents.configurationTopic(), 0};
 }
 
 logstore::PartitionAddress EdgeDaemon::replicaPartition() const {
-  return {parts_.documents.replicaTopic(), 0};
+  return {dependencies_.documents.replicaTopic(), 0};
 }
 
 std::string EdgeDaemon::ownRelayAddress() const { return relayAddressOf(settings_); }
@@ -361,7 +362,7 @@
 
 void EdgeDaemon::onClientRequest(http::ServerRequest request, http::ResponseWriterPtr writer) {
   context_.takesRequests = !stopping_ || clock_() - stopStartedAt_ < kAcceptAfterStop;
-  std::make_shared<Exchange>(context_, parts_.wire.readRequest(std::move(request)),
+  std::make_shared<Exchange>(context_, dependencies_.wire.readRequest(std::move(request)),
                              std::move(writer))
       ->start();
 }
@@ -383,7 +384,7 @@
 
 void EdgeDaemon::onDirectoryRequest(const http::ServerRequest& request,
                                     const http::ResponseWriterPtr& writer) {
-  const auto query = parts_.wire.readDirectoryQuery(request);
+  const auto query = dependencies_.wire.readDirectoryQuery(request);
   if (!query) {
     writer->sendWhole({kNotFound, {}, {}});
     return;
@@ -405,7 +406,7 @@
     return;
   }
   const double ttl = std::min(kAddressTtlSeconds, settings_.bounds.maximumAddressTtlSeconds);
-  writer->sendWhole(parts_.wire.makeDirectoryAnswer(addresses, ttl));
+  writer->sendWhole(dependencies_.wire.makeDirectoryAnswer(addresses, ttl));
 }
 
 void EdgeDaemon::flushLoop() {
--- a/src/edge/edge_daemon.h
+++ b/src/edge/edge_daemon.h
@@ -52,7 +52,7 @@
 /// members), exchanges state with other nodes, and drains requests on a planned stop.
 class EdgeDaemon {
  public:
-  EdgeDaemon(boost::asio::io_context& context, EdgeSettings settings, EdgeDependencies parts,
+  EdgeDaemon(boost::asio::io_context& context, EdgeSettings settings, EdgeDependencies dependencies,
              std::uint64_t seed);
   ~EdgeDaemon();
   EdgeDaemon(const EdgeDaemon&) = delete;
@@ -172,7 +172,7 @@
   /// The newest valid configuration if it was refused because it names an unknown region; empty
   /// otherwise.
   std::string refusedConfiguration_;
-  EdgeDependencies parts_;
+  EdgeDependencies dependencies_;
   services::TimerServicePtr timers_;
   std::function<Instant()> clock_;
   EventLog log_;
@@ -205,7 +205,8 @@
   routing::RegionRule regionRule_;
   routing::EvacuationRule evacuationRule_;
   routing::ColdReplicaRule coldReplicas_;
-  std::optional<bool> loggedColdKnown_;  ///< As last logged; unset if never logged.
+  /// Whether the cold states of replicas were known when last logged; unset if never logged.
+  std::optional<bool> loggedColdKnown_;
   routing::ReplicaPlacement placement_;
   routing::FleetLoad fleetLoad_;
   LoadExchange loadExchange_;
--- a/src/edge/edge_daemon_figures.cpp
+++ b/src/edge/edge_daemon_figures.cpp
@@ -50,7 +50,7 @@
   values.replicasCold = coldReplicas_.coldReplicas();
   values.coldReplicasSkipped = coldReplicas_.passedOver();
   values.members = members_.liveMembers().size();
-  values.membersSilent = peerMonitor_.suspectedOrDeadNodes();
+  values.membersSuspectedOrDead = peerMonitor_.suspectedOrDeadNodes();
   values.configurationVersion = routes_.inForce() ? routes_.inForce()->version.value() : 0;
   values.configurationAgeMilliseconds =
       ageMilliseconds(now, context_.freshness.configurationReadAt);
--- a/src/edge/edge_daemon_followers.cpp
+++ b/src/edge/edge_daemon_followers.cpp
@@ -46,9 +46,9 @@
 }
 
 void EdgeDaemon::onOperatorRecord(const std::string& key, const std::string& value) {
-  if (key == parts_.documents.configurationKey()) {
+  if (key == dependencies_.documents.configurationKey()) {
     onConfigurationRecord(value);
-  } else if (const auto zone = parts_.documents.evacuatedZoneOf(key)) {
+  } else if (const auto zone = dependencies_.documents.evacuatedZoneOf(key)) {
     onEvacuationRecord(*zone, value);
   } else if (value.empty()) {
     unreadableRecords_.onReadable(RecordKind::Operator, key);
@@ -85,7 +85,7 @@
   unreadableRecords_.onListed(RecordKind::Operator, keys);
   std::vector<std::string> zones;
   for (const std::string& key : keys) {
-    if (auto zone = parts_.documents.evacuatedZoneOf(key)) {
+    if (auto zone = dependencies_.documents.evacuatedZoneOf(key)) {
       zones.push_back(std::move(*zone));
     }
   }
@@ -104,8 +104,8 @@
   if (value.empty()) {
     return;
   }
-  auto read = parts_.documents.readConfiguration(value);
-  const std::string key = parts_.documents.configurationKey();
+  auto read = dependencies_.documents.readConfiguration(value);
+  const std::string key = dependencies_.documents.configurationKey();
   if (!succeeded(read)) {
     // The previous configuration stays in force. Every invalid version is logged, because operators
     // correct one fault after the other.
@@ -196,7 +196,7 @@
     onRegistrationLost(id, "record");
     return;
   }
-  auto read = parts_.documents.readReplicaEntry(id, value);
+  auto read = dependencies_.documents.readReplicaEntry(id, value);
   if (!succeeded(read)) {
     onReplicaUnreadable(id, errorOf(read));
     return;
@@ -263,9 +263,9 @@
                                     const routing::Replica& replica) {
   const std::string& id = replica.entry.id;
   coldReplicas_.onLifeEnded(id);
-  parts_.client.closeIdleConnections(replica.entry.address);
+  dependencies_.client.closeIdleConnections(replica.entry.address);
   if (before) {
-    parts_.client.closeIdleConnections(before->entry.address);
+    dependencies_.client.closeIdleConnections(before->entry.address);
   }
   log_.logImportant("replica_restarted",
                     {{"replica", id},
@@ -289,10 +289,10 @@
 
 void EdgeDaemon::onReplicaUnreadable(const std::string& id, const Error& error) {
   reportUnreadableRecord(RecordKind::Replica, id, error);
-  // The replica is removed rather than kept as doubtful. Doubtful replicas could not renew their
-  // registrations and are probably alive; here a new record was written, and the process at the
-  // previous address is unknown: requests sent there could run at another replica. Requests in
-  // flight continue.
+  // The replica is removed rather than kept as a lapsed registration. A registration lapses when
+  // the replica cannot renew it, and the replica is probably alive. Here a new record was written,
+  // and the process at the previous address is unknown: requests sent there could run at another
+  // replica. Requests in flight continue.
   if (replicas_.remove(id) != routing::ReplicaChange::None) {
     log_.logImportant("replica_gone", {{"replica", id}, {"by", "unreadable"}});
   }
--- a/src/edge/edge_daemon_peers.cpp
+++ b/src/edge/edge_daemon_peers.cpp
@@ -264,8 +264,8 @@
   if (membersListed_) {
     ringMembers_ = members_.ringMembers();
   } else {
-    // With an incomplete list this node could select itself as feeder or owner of a cold replica,
-    // in addition to the nodes that all others agree on.
+    // With an incomplete list this node could select itself as designated sender or owner of a cold
+    // replica, in addition to the nodes that all others agree on.
     clientNodeAddresses_.clear();
   }
   return loadPeers_;
--- a/src/edge/edge_daemon_shared.h
+++ b/src/edge/edge_daemon_shared.h
@@ -9,9 +9,11 @@
 
 namespace gorsetrail::edge {
 
+/// Topic of the nodes' member records.
 inline constexpr char kMemberTopic[] = "keyed.nodes";
 /// Topic of the zones' topic reader claims; see `ReaderElection`.
 inline constexpr char kReaderTopic[] = "keyed.topic-readers";
+/// Shortest pause between two reads of the member topic.
 inline constexpr Duration kMinimumMemberPause = milliseconds(500);
 
 /// \return the milliseconds from `then` to `now`, at least 0.
--- a/src/edge/edge_metrics.cpp
+++ b/src/edge/edge_metrics.cpp
@@ -95,7 +95,7 @@
                "Looks at a replica that got no request because it is or may be cold",
                snapshot.coldReplicasSkipped);
   list.gauge("members", "Nodes believed alive", snapshot.members);
-  list.gauge("members_silent", "Nodes that do not answer probes", snapshot.membersSilent);
+  list.gauge("members_silent", "Nodes that do not answer probes", snapshot.membersSuspectedOrDead);
   list.gauge("configuration_version", "In force, 0 for none", snapshot.configurationVersion);
   list.gauge("configuration_age_milliseconds", "Since the store was last heard about it",
              snapshot.configurationAgeMilliseconds);
--- a/src/edge/edge_metrics.h
+++ b/src/edge/edge_metrics.h
@@ -21,31 +21,33 @@
 
 /// Values of the node's other components at one moment.
 struct EdgeSnapshot {
-  std::uint64_t storeCalls = 0;
+  // Calls to the store, by result.
+  std::uint64_t storeCalls = 0;  ///< Started.
   std::uint64_t storeAnswered = 0;
   std::uint64_t storeUnanswered = 0;
   std::uint64_t storeThrottled = 0;
   std::uint64_t storeBusy = 0;
   std::uint64_t storeGivenUp = 0;
-  std::uint64_t storeThroughRelay =
-      0;  ///< Gauge: 1 while store calls are relayed through other nodes.
+  /// Gauge: 1 while store calls are relayed through other nodes.
+  std::uint64_t storeThroughRelay = 0;
   /// Gauge: how many of the three followed topics this node has listed.
   std::uint64_t topicsListed = 0;
   std::uint64_t isTopicReader = 0;  ///< Gauge: 1 if this node is the zone's claimed topic reader.
   /// Reads served from this node's topic copies, for itself and other nodes.
   logstore::TopicGatewayCounters topicGateways{};
-  std::uint64_t ledgerCalls = 0;
+  // Ledger calls to other nodes that host partitions.
+  std::uint64_t ledgerCalls = 0;           ///< Started.
   std::uint64_t ledgerCallsForwarded = 0;  ///< Forwarded to another host of the partition.
   std::uint64_t ledgerCallsFailed = 0;
-  std::uint64_t reservationsGrantedAhead =
-      0;  ///< Granted before the record is written, under this node's primary lease.
+  /// Granted before the record is written, under this node's primary lease.
+  std::uint64_t reservationsGrantedAhead = 0;
   std::uint64_t reservationsGrantedAheadSecondary = 0;  ///< Likewise under its secondary lease.
   std::uint64_t reservationsGrantedByLog = 0;           ///< Decided at this node, without a lease.
   std::uint64_t reservationsSpent = 0;                  ///< Refused: the budget is exhausted.
-  std::uint64_t reservationsUncertain =
-      0;  ///< Refused: an earlier host may have spent tokens, or the call came too late.
-  std::uint64_t grantsUnrecorded =
-      0;  ///< Gauge: granted under a lease, record not yet in the store.
+  /// Refused: an earlier host may have spent tokens, or the call came too late.
+  std::uint64_t reservationsUncertain = 0;
+  /// Gauge: granted under a lease, record not yet in the store.
+  std::uint64_t grantsUnrecorded = 0;
   std::uint64_t quotaGrantedAtOnce = 0;       ///< From tokens this node already had.
   std::uint64_t quotaGrantedAfterAsking = 0;  ///< From tokens requested from a coordinator.
   std::uint64_t quotaGrantedFromOwnShare = 0;
@@ -56,21 +58,22 @@
   std::uint64_t dispatches = 0;
   std::uint64_t retries = 0;
   std::uint64_t resumes = 0;
-  std::uint64_t turnsWaitingForRecord =
-      0;  ///< Gauge: complete streams whose end is withheld until the turn is stored.
+  /// Gauge: complete streams whose end is withheld until the turn is stored.
+  std::uint64_t turnsWaitingForRecord = 0;
   std::uint64_t turnsBegunInOutage = 0;
   std::uint64_t turnsStoredLate = 0;
   std::uint64_t turnsNotStored = 0;  ///< Their streams were aborted.
   std::uint64_t requestsOpen = 0;    ///< Gauge.
   std::uint64_t bytesUntaken = 0;    ///< Gauge: response bytes that clients have not read yet.
-  std::uint64_t callersCut =
-      0;  ///< Client connections closed because too many response bytes were unread.
+  /// Client connections closed because too many response bytes were unread.
+  std::uint64_t callersCut = 0;
   std::uint64_t replicas = 0;      ///< Gauge.
   std::uint64_t replicasCold = 0;  ///< Gauge.
+  /// Placements from which a replica was excluded because it is or may be cold.
   std::uint64_t coldReplicasSkipped = 0;
-  std::uint64_t members = 0;               ///< Gauge.
-  std::uint64_t membersSilent = 0;         ///< Gauge.
-  std::uint64_t configurationVersion = 0;  ///< Gauge.
+  std::uint64_t members = 0;                 ///< Gauge.
+  std::uint64_t membersSuspectedOrDead = 0;  ///< Gauge.
+  std::uint64_t configurationVersion = 0;    ///< Gauge.
   std::uint64_t configurationAgeMilliseconds = 0;
   std::uint64_t replicasAgeMilliseconds = 0;
   std::uint64_t logLinesDropped = 0;
--- a/src/edge/edge_settings.h
+++ b/src/edge/edge_settings.h
@@ -33,11 +33,11 @@
 struct TimeBounds {
   Duration stopLimit = seconds(8);  ///< From the stop signal until the process is killed.
   Duration drain = seconds(2);  ///< A draining replica receives no new requests after this time.
-  Duration configuration =
-      seconds(2);  ///< A new configuration is in force on all nodes within this time.
+  /// A new configuration is in force on all nodes within this time.
+  Duration configuration = seconds(2);
   double maximumAddressTtlSeconds = 5;  ///< Longest time that clients cache a directory answer.
-  Duration evacuation =
-      seconds(5);  ///< Replicas of an evacuated zone receive no requests after this time.
+  /// Replicas of an evacuated zone receive no requests after this time.
+  Duration evacuation = seconds(5);
   /// In any second, all nodes together send a cold replica at most its sustainable rate times
   /// `coldOvershoot`, plus `coldSlack` requests.
   double coldOvershoot = 1.5;
@@ -56,6 +56,7 @@
   double processorShare = 1.0;  ///< Fraction of one CPU core.
   double linkMegabitsPerSecond = 1000;
   ListenAddresses listen;
+  /// Ports for traffic between nodes; each service has a fixed offset from the first.
   std::uint16_t firstInternalPort = 0;
   std::uint16_t lastInternalPort = 0;
   std::vector<std::string> seeds;  ///< Control addresses of some other nodes; may be outdated.
--- a/src/edge/event_log.h
+++ b/src/edge/event_log.h
@@ -39,7 +39,7 @@
 };
 
 /// Buffers log lines in memory and writes them in one call. Lines that do not fit are dropped;
-/// their count is logged as soon as there is space.
+/// their count is logged at the next flush that finds space.
 class EventLog {
  public:
   /// Writes bytes without blocking and returns how many it wrote.
@@ -83,7 +83,7 @@
   std::uint32_t routineLinesInWindow_ = 0;
   std::map<CountedRefusalKey, std::uint64_t> refusalCounts_;  ///< Refusals not logged in full.
   std::uint64_t droppedLines_ = 0;
-  std::uint64_t reportedDroppedLines_ = 0;
+  std::uint64_t reportedDroppedLines_ = 0;  ///< Part of `droppedLines_` that has been logged.
 };
 
 /// \return an output that writes to standard output; sets standard output to non-blocking.
--- a/src/edge/event_splitter.h
+++ b/src/edge/event_splitter.h
@@ -17,7 +17,9 @@
 /// Splits received bytes into complete events, so that partial events are never forwarded.
 class EventSplitter {
  public:
-  /// Appends received bytes. \return the events that are complete now.
+  /// Appends received bytes.
+  ///
+  /// \return the events that are complete now.
   std::vector<StreamEvent> feed(std::string_view bytes);
   /// \return whether bytes of an incomplete event are buffered.
   [[nodiscard]] bool hasPartialEvent() const { return !partial_.empty(); }
--- a/src/edge/exchange.h
+++ b/src/edge/exchange.h
@@ -69,7 +69,7 @@
   void send(const routing::ReplicaPtr& replica);
   [[nodiscard]] routing::PlacementQuery placementQuery() const;
   [[nodiscard]] routing::PlacementSubject placementSubject() const;
-  void onReplicasBusy(const routing::RefusedByAdmission& taken);
+  void onReplicasBusy(const routing::RefusedByAdmission& refused);
   void onNoReplica(const routing::NoReplica& none);
   /// \return the stage of the program, for admission control and quota.
   [[nodiscard]] routing::WorkStage stage() const;
@@ -96,10 +96,10 @@
   /// \param isRunning see `abandonUnsentDispatch`.
   /// \return the state of the request afterwards.
   [[nodiscard]] FailedDispatch abandonUnservedDispatch(bool isRunning);
-  /// Calls `onSilenceTimeout` if the dispatch is still in progress after
+  /// Calls `onNoDataTimeout` if the dispatch is still in progress after
   /// `ExchangeKnobs::reachabilityCheckDelay`.
-  void startSilenceTimer();
-  void onSilenceTimeout();
+  void startNoDataTimer();
+  void onNoDataTimeout();
   /// Cancels a dispatch that the replica may have begun to execute but will not finish.
   void onRunLost(std::string_view reason);
   /// Switches `replica_` to the replica's new incarnation if the process had restarted before the
@@ -183,7 +183,8 @@
   Instant dispatchedAt_;
   ReplicaHead head_;
   bool headReceived_ = false;
-  /// Counted as a failure: no answer within `noResponseFailureTime`.
+  /// The dispatch was counted as a failure, because no head arrived within
+  /// `ExchangeKnobs::noResponseFailureTime`.
   bool noAnswerRecorded_ = false;
   std::vector<http::Header> replicaHeaders_;
   std::string body_;
--- a/src/edge/exchange_liveness.cpp
+++ b/src/edge/exchange_liveness.cpp
@@ -10,19 +10,19 @@
 
 namespace gorsetrail::edge {
 
-void Exchange::startSilenceTimer() {
+void Exchange::startNoDataTimer() {
   context_.timers.runAfter(context_.knobs.reachabilityCheckDelay,
                            [weak = weak_from_this(), number = dispatchNumber_] {
                              const auto self = weak.lock();
                              if (self && self->dispatchNumber_ == number && self->call_) {
-                               self->onSilenceTimeout();
+                               self->onNoDataTimeout();
                              }
                            });
 }
 
 // A failed or partitioned replica differs from a slow one only in that new connections fail.
 // Without that proof the run must not be abandoned: the request would run at two replicas at once.
-void Exchange::onSilenceTimeout() {
+void Exchange::onNoDataTimeout() {
   followRestartedReplica();
   if (replica_->hasEnded()) {
     onRunLost("replica process restarted during the request");
@@ -35,7 +35,7 @@
   }
   const Instant heardAt = std::max(replica_->heardAt, dispatchedAt_);
   if (context_.clock() - heardAt < context_.knobs.reachabilityCheckDelay) {
-    startSilenceTimer();
+    startNoDataTimer();
     return;
   }
   checkReplicaReachability([heardAt](Exchange& self, Reachability reach) {
@@ -46,7 +46,7 @@
     if (reach == Reachability::Unreachable && !heardSince) {
       self.onRunLost("no data received and no new connection accepted");
     } else {
-      self.startSilenceTimer();
+      self.startNoDataTimer();
     }
   });
 }
--- a/src/edge/exchange_refusals.cpp
+++ b/src/edge/exchange_refusals.cpp
@@ -20,16 +20,16 @@
 
 }  // namespace
 
-void Exchange::onReplicasBusy(const routing::RefusedByAdmission& taken) {
+void Exchange::onReplicasBusy(const routing::RefusedByAdmission& refused) {
   context_.log.logRefusal("placement_refused", {request_.programId, "replicas_busy"},
                           {{"request", request_.requestId},
                            {"program", request_.programId},
                            {"stage", routing::workStageName(stage())},
                            {"priority", std::uint64_t{checked_.priority}},
                            {"prompt_tokens", request_.promptTokens},
-                           {"replica", taken.judged->entry.id},
-                           {"load_percent", percentOf(taken.judged->loadPerSlot())},
-                           {"least_load_percent", percentOf(taken.leastLoadPerSlot)}});
+                           {"replica", refused.judged->entry.id},
+                           {"load_percent", percentOf(refused.judged->loadPerSlot())},
+                           {"least_load_percent", percentOf(refused.leastLoadPerSlot)}});
   refuse({kUnavailable, "replicas_busy", context_.knobs.retryAfterOverload});
 }
 
--- a/src/edge/exchange_replica.cpp
+++ b/src/edge/exchange_replica.cpp
@@ -80,7 +80,7 @@
   };
   call_ = context_.client.send(context_.wire.makeReplicaRequest(request_, parameters),
                                std::move(handler));
-  startSilenceTimer();
+  startNoDataTimer();
 }
 
 void Exchange::onHead(unsigned status, const std::vector<http::Header>& headers) {
--- a/src/edge/ledger_relay.h
+++ b/src/edge/ledger_relay.h
@@ -24,6 +24,7 @@
  public:
   /// \param service outlives this object.
   explicit LedgerRelayServer(ledger::LedgerService& service) : service_(service) {}
+  /// Handles a ledger call or a liveness check.
   void onRequest(const http::ServerRequest& request, http::ResponseWriterPtr writer);
 
  private:
--- a/src/edge/load_exchange.h
+++ b/src/edge/load_exchange.h
@@ -15,6 +15,7 @@
 
 namespace gorsetrail::edge {
 
+/// \return the digest as the bytes of one datagram.
 std::string encodeLoadDigest(const routing::LoadDigest& digest);
 /// Errors: `InvalidFrame`.
 Result<routing::LoadDigest> decodeLoadDigest(std::string_view bytes);
@@ -40,6 +41,7 @@
 /// Exchanges load digests with other nodes. A lost digest is superseded by the next one.
 class LoadExchange {
  public:
+  /// Called with each digest received from another node.
   using DigestObserver = std::function<void(routing::LoadDigest)>;
 
   LoadExchange(boost::asio::io_context& context, LoadExchangeKnobs knobs, std::uint64_t seed,
--- a/src/edge/member_announcer.h
+++ b/src/edge/member_announcer.h
@@ -31,12 +31,16 @@
   using Forward = std::function<void(const std::string& address, logstore::AppendRequest request,
                                      logstore::StoreCallback<logstore::AppendReply> callback)>;
 
-  /// \param store makes single attempts.
   /// All reference arguments outlive this object.
+  ///
+  /// \param store makes single attempts.
   MemberAnnouncer(logstore::LogStore& store, services::TimerService& timers,
                   logstore::ClockFunction clock, logstore::PartitionAddress partition,
                   Forward forward, MemberAnnouncerKnobs knobs);
 
+  /// Announces this node: through the aggregator, or directly if that fails.
+  ///
+  /// \param ownAddress relay address of this node.
   /// \param candidates nodes of the zone that may aggregate; if empty, this node appends directly.
   /// \param urgent append directly, even while an earlier announcement is pending.
   /// \return false if skipped because an earlier announcement is pending.
--- a/src/edge/member_table.h
+++ b/src/edge/member_table.h
@@ -77,8 +77,11 @@
   explicit MemberTable(MemberTableKnobs knobs, FailsProbes failsProbes)
       : knobs_(knobs), failsProbes_(std::move(failsProbes)) {}
 
+  /// Stores the newest record of a node.
+  ///
   /// \return whether the node starts or stops to serve with this record.
   bool onRecord(const std::string& key, const MemberRecord& record, Instant now);
+  /// Removes a node whose record was deleted from the topic.
   void remove(const std::string& key) { members_.erase(key); }
   /// \return the number of listed nodes, including dead and leaving ones.
   [[nodiscard]] std::size_t size() const { return members_.size(); }
@@ -91,7 +94,8 @@
   /// Removes nodes without a record for `removeAfter`.
   /// \return their keys.
   std::vector<std::string> removeExpired();
-  /// The topic was read up to this time; nodes whose last record is too old by then are dead.
+  /// Called when the member topic has been read up to `now`. The age of each node's last record is
+  /// measured at this time.
   void onRecordsRead(Instant now) { lastReadAt_ = now; }
 
   /// Returns whether recent calls to the node with this relay address failed.
@@ -124,7 +128,9 @@
   [[nodiscard]] bool isAlive(const std::string& key, const Entry& entry) const;
   using Members = std::vector<const MemberRecord*>;
   /// \return the serving nodes nearest to the client, with more distant ones added while there are
-  /// too few. \param suspects return all suspect nodes instead of the others.
+  /// too few.
+  ///
+  /// \param suspects return all suspect nodes instead of the others.
   [[nodiscard]] Members nearest(const ClientLocation& client, const IsSuspect& isSuspect,
                                 bool suspects) const;
   /// Truncates to the most capable nodes, by descending capacity. Deterministic, so that all nodes
--- a/src/edge/peer_monitor.h
+++ b/src/edge/peer_monitor.h
@@ -61,6 +61,7 @@
   [[nodiscard]] bool isSuspectedOrDead(const std::string& ip) const {
     return suspectedOrDead_.contains(ip);
   }
+  /// \return the number of probed nodes that are suspected or dead.
   [[nodiscard]] std::size_t suspectedOrDeadNodes() const { return suspectedOrDead_.size(); }
 
  private:
--- a/src/edge/quota_exchange.h
+++ b/src/edge/quota_exchange.h
@@ -64,7 +64,9 @@
     std::vector<std::string> addresses;
     Instant chosenAt;
   };
+  /// Runs the service's timers periodically.
   void tickLoop();
+  /// Runs the service's timers at a shorter period while requests wait for tokens.
   void waitingLoop();
   [[nodiscard]] std::string quotaAddressOf(const std::string& relayAddress) const;
 
@@ -75,8 +77,8 @@
   DatagramSocket socket_;
   std::string portSuffix_;
   ledger::RendezvousSelector selector_{{}};
-  mutable std::map<std::uint32_t, Coordinators>
-      coordinators_;                              ///< Cached for each partition at `chosenAt`.
+  /// Cached for each partition at `chosenAt`.
+  mutable std::map<std::uint32_t, Coordinators> coordinators_;
   std::unique_ptr<quota::QuotaService> service_;  ///< Null before `listen`.
   bool isWaitingLoopRunning_ = false;
 };
--- a/src/edge/reader_election.h
+++ b/src/edge/reader_election.h
@@ -68,6 +68,7 @@
 
   /// \return the zone's claimed reader; empty if there is none or it was unreachable.
   [[nodiscard]] std::string reader(Instant now) const;
+  /// \return whether this node is the claimed reader.
   [[nodiscard]] bool isReader() const { return isReader_; }
   [[nodiscard]] Step next(Instant now) const;
 
--- a/src/edge/replica_runs.h
+++ b/src/edge/replica_runs.h
@@ -9,7 +9,7 @@
 
 namespace gorsetrail::edge {
 
-/// Enforces the maximumReplicas number of replicas at which a request may run, as set by its route.
+/// Enforces the maximum number of replicas at which a request may run, as set by its route.
 ///
 /// Resuming a stream at the same replica does not count as a further replica. A replica stops
 /// counting when it is shown to be unreachable, or when its process restarted after the dispatch. A
--- a/src/edge/shared_topic_store.h
+++ b/src/edge/shared_topic_store.h
@@ -44,15 +44,17 @@
   std::function<std::size_t()> members;
 };
 
-/// All nodes follow the same topics. One node of each zone reads them for the others, so that the
-/// load on the store does not grow with the fleet. Readers are tried in this order: the last one
+/// A store client that reads the followed topics through one node of the zone, so that the load on
+/// the store does not grow with the fleet. Readers are tried in this order: the last one
 /// that answered, the readers by rendezvous hashing over the members, the zone's claimed reader. If
 /// a reader is reachable but the store does not answer it, other nodes do not read the store
 /// either: after an outage, hundreds of nodes that catch up at once would exceed its bandwidth.
 /// Appends go directly to the store.
 class SharedTopicStore final : public logstore::LogStore {
  public:
-  /// \param direct, relay outlive this object.
+  /// `direct` and `relay` outlive this object.
+  ///
+  /// \param ownAddress relay address of this node.
   SharedTopicStore(logstore::LogStore& direct, RelayedStore& relay, std::string ownAddress,
                    std::string zone, TopicReaderSources sources, logstore::ClockFunction clock,
                    SharedTopicStoreKnobs knobs);
--- a/src/edge/store_relay.h
+++ b/src/edge/store_relay.h
@@ -20,21 +20,24 @@
   /// \param direct the direct connection to the store, never a relay, so that calls are not
   /// forwarded in a loop. Outlives this object.
   explicit StoreRelayServer(logstore::LogStore& direct) : direct_(direct) {}
-  /// Passes appends to this partition to the handler instead of the store.
   using AppendHandler =
       std::function<void(logstore::AppendRequest, logstore::StoreCallback<logstore::AppendReply>)>;
+  /// Passes appends to this partition to the handler instead of the store.
   void interceptAppends(logstore::PartitionAddress partition, AppendHandler handler) {
     interceptedPartition_ = std::move(partition);
     appendHandler_ = std::move(handler);
   }
-  /// Offers reads to the handler before the store. It returns whether it handles the read.
+  /// Returns whether it handles the read.
   using ReadHandler = std::function<bool(const logstore::ReadRequest&,
                                          const logstore::StoreCallback<logstore::ReadReply>&)>;
+  /// Offers reads to the handler before the store.
   void interceptReads(ReadHandler handler) { readHandler_ = std::move(handler); }
-  /// Offers listings to the handler before the store. It returns whether it handles the listing.
+  /// Returns whether it handles the listing.
   using ListingHandler = std::function<bool(const logstore::NewestRequest&,
                                             const logstore::StoreCallback<logstore::NewestReply>&)>;
+  /// Offers listings to the handler before the store.
   void interceptListings(ListingHandler handler) { listingHandler_ = std::move(handler); }
+  /// Handles one store call and answers with its result.
   void onRequest(const http::ServerRequest& request, http::ResponseWriterPtr writer);
 
  private:
@@ -54,7 +57,7 @@
 /// for each call would fail for that share of the calls.
 class RelayedStore final : public logstore::LogStore {
  public:
-  /// \return relay addresses of other nodes that may relay calls for the partition.
+  /// Returns relay addresses of other nodes that may relay calls for the partition.
   using Relays = std::function<std::vector<std::string>(const logstore::PartitionAddress&)>;
 
   RelayedStore(http::HttpClient& client, Relays relays, std::uint64_t seed);
--- a/src/edge/stream_progress.h
+++ b/src/edge/stream_progress.h
@@ -24,9 +24,11 @@
   /// \return the buffered complete events, which then count as released.
   std::string releaseEvents();
 
+  /// \return whether complete events are buffered.
   [[nodiscard]] bool hasOutput() const { return !output_.empty(); }
   [[nodiscard]] bool hasPartialEvent() const { return splitter_.hasPartialEvent(); }
   [[nodiscard]] std::uint64_t eventsReleased() const { return eventsReleased_; }
+  /// \return the ID of the last event received; before the first, the one given at construction.
   [[nodiscard]] const std::string& lastEventId() const { return lastEventId_; }
   /// \return data of all received events, each followed by a line feed: the output in the turn's
   /// record.
--- a/src/edge/topic_readers.h
+++ b/src/edge/topic_readers.h
@@ -36,18 +36,25 @@
 /// key: the zone, value: the reader's member record.
 class TopicReaders {
  public:
+  /// Returns the member record that this node writes as its claim.
   using OwnRecord = std::function<MemberRecord()>;
   /// Called when the zone's reader has changed.
   using OnReader = std::function<void(const std::string& address)>;
 
-  /// \param store, timers outlive this object.
+  /// `store` and `timers` outlive this object.
+  ///
+  /// \param claims partition of the topic with the claims.
   TopicReaders(logstore::LogStore& store, services::TimerService& timers,
                logstore::ClockFunction clock, logstore::PartitionAddress claims, ReaderNode self,
                OwnRecord ownRecord, OnReader onReader, TopicReadersKnobs knobs, std::uint64_t seed);
 
+  /// Starts polling the election.
   void start() { pollLoop(); }
+  /// \return the zone's claimed reader; empty if there is none or it was unreachable.
   [[nodiscard]] std::string reader() const { return election_.reader(clock_()); }
+  /// \return whether this node is the claimed reader.
   [[nodiscard]] bool isReader() const { return election_.isReader(); }
+  // Reports about readers, passed to the election; see `ReaderElection`.
   void onUnreachable(const std::string& address) { election_.onUnreachable(address, clock_()); }
   void onAnswered(const std::string& address) { election_.onAnswered(address); }
   void onNoAnswer(const std::string& address) { election_.onNoAnswer(address, clock_()); }
--- a/src/edge/turn_retention_policy.h
+++ b/src/edge/turn_retention_policy.h
@@ -38,6 +38,7 @@
   std::size_t maximumRetainedBytes = std::size_t{4} * 1024 * 1024;
 };
 
+/// The turn may run.
 struct TurnAdmitted {};
 /// The turn is refused before anything was executed.
 struct TurnRefused {
@@ -60,6 +61,8 @@
  public:
   explicit TurnRetentionPolicy(TurnRetentionKnobs knobs = {}) : knobs_(knobs) {}
 
+  /// Decides whether a turn may run now.
+  ///
   /// \param storeAnswers whether the store is expected to accept the turn's record now.
   /// \param bytes known size of the turn; it is not yet included in `retainedBytes`.
   /// \param timeLeft until the caller's deadline.
--- a/src/edge/unreadable_records.h
+++ b/src/edge/unreadable_records.h
@@ -38,12 +38,13 @@
   bool onUnreadable(RecordKind kind, const std::string& key, Instant now);
   /// Called when the key's record is readable or was removed.
   void onReadable(RecordKind kind, const std::string& key);
-  /// Called with all keys of the topic; other keys are removed.
+  /// Called with all keys of the topic. Forgets logged keys that are not among them.
   void onListed(RecordKind kind, const std::vector<std::string>& keys);
 
   /// \return whether a logged record of this kind is still unreadable. Records that were not logged
   /// are not considered.
   [[nodiscard]] bool hasAny(RecordKind kind) const { return !of(kind).loggedKeys.empty(); }
+  /// \return how many records of this kind were unreadable, with repetitions.
   [[nodiscard]] std::uint64_t count(RecordKind kind) const { return of(kind).count; }
 
  private:
--- a/src/edge/wire_adapter.h
+++ b/src/edge/wire_adapter.h
@@ -39,6 +39,7 @@
   /// \return the query, or nothing if the request is not a directory query.
   [[nodiscard]] virtual std::optional<DirectoryQuery> readDirectoryQuery(
       const http::ServerRequest& request) const = 0;
+  /// \param ttlSeconds how long the client may cache the answer.
   [[nodiscard]] virtual http::WholeResponse makeDirectoryAnswer(
       const std::vector<std::string>& addresses, double ttlSeconds) const = 0;
 };
