--- a/src/edge/edge_context.h
+++ b/src/edge/edge_context.h
@@ -65,7 +65,7 @@
   /// replica.
   Duration noResponseFailureTime = milliseconds(1000);
   /// Timeout of the test connection.
-  Duration reachabilityLimit = milliseconds(250);
+  Duration reachabilityTimeout = milliseconds(250);
   /// A route missing from a configuration older than this may have been added since.
   Duration maximumConfigurationAge = milliseconds(1800);
 };
@@ -84,7 +84,7 @@
   EventLog& log;
   EdgeMetrics& metrics;
   EdgeCounters counters;
-  StoreReadTimes freshness;  ///< Last successful reads of the store.
+  StoreReadTimes storeReadTimes;  ///< Last successful reads of the store.
   ExchangeKnobs knobs;
   bool takesRequests = true;  ///< False during the last phase of a planned stop.
   TurnRetentionPolicy retention{};
--- a/src/edge/edge_daemon.cpp
+++ b/src/edge/edge_daemon.cpp
@@ -224,7 +224,7 @@
 }
 
 // An unreadable registration counts as changed, so that each node counts every write of it. The
-// heartbeats in such a record cannot be told from other changes.
+// heartbeats in such a record cannot be distinguished from other changes.
 bool EdgeDaemon::isUnchangedRegistration(const std::string& older, const std::string& newer) const {
   return dependencies_.documents.sameRegistration(older, newer) &&
          (!unreadableRecords_.hasAny(RecordKind::Replica) ||
--- a/src/edge/edge_daemon_figures.cpp
+++ b/src/edge/edge_daemon_figures.cpp
@@ -53,8 +53,8 @@
   values.membersSuspectedOrDead = peerMonitor_.suspectedOrDeadNodes();
   values.configurationVersion = routes_.inForce() ? routes_.inForce()->version.value() : 0;
   values.configurationAgeMilliseconds =
-      ageMilliseconds(now, context_.freshness.configurationReadAt);
-  values.replicasAgeMilliseconds = ageMilliseconds(now, context_.freshness.replicasReadAt);
+      ageMilliseconds(now, context_.storeReadTimes.configurationReadAt);
+  values.replicasAgeMilliseconds = ageMilliseconds(now, context_.storeReadTimes.replicasReadAt);
   values.logLinesDropped = log_.droppedLines();
   values.replicaRecordsUnreadable = unreadableRecords_.count(RecordKind::Replica);
   values.memberRecordsUnreadable = unreadableRecords_.count(RecordKind::Member);
--- a/src/edge/edge_daemon_followers.cpp
+++ b/src/edge/edge_daemon_followers.cpp
@@ -32,7 +32,7 @@
     onOperatorRecordsListed(keys);
   };
   observer.onFresh = [this](Instant askedAt) {
-    context_.freshness.configurationReadAt = askedAt;
+    context_.storeReadTimes.configurationReadAt = askedAt;
     coldReplicas_.onEvacuationsFresh(askedAt);
     onTopicFresh("configuration");
   };
@@ -159,7 +159,7 @@
     log_.logImportant("replicas_listed", {{"count", std::uint64_t{keys.size()}}});
   };
   observer.onFresh = [this](Instant askedAt) {
-    context_.freshness.replicasReadAt = askedAt;
+    context_.storeReadTimes.replicasReadAt = askedAt;
     coldReplicas_.onFresh(askedAt);
     onTopicFresh("replicas");
   };
@@ -358,7 +358,7 @@
 }
 
 // A starting node gets no answer until its zone's reader has listed the topics. This does not count
-// as a store outage, during which expired registrations would be kept as doubtful.
+// as a store outage, during which lapsed registrations would be kept.
 bool EdgeDaemon::isStarting(std::string_view topic) const {
   return !everReadTopics_.contains(topic) && clock_() - startedAt_ < kStartupTime;
 }
@@ -376,8 +376,8 @@
       {{"topic", topic},
        {"fault", logstore::storeFaultName(error.fault)},
        {"reason", error.reason},
-       {"configuration_age_ms", ageMilliseconds(now, context_.freshness.configurationReadAt)},
-       {"replicas_age_ms", ageMilliseconds(now, context_.freshness.replicasReadAt)}});
+       {"configuration_age_ms", ageMilliseconds(now, context_.storeReadTimes.configurationReadAt)},
+       {"replicas_age_ms", ageMilliseconds(now, context_.storeReadTimes.replicasReadAt)}});
 }
 
 }  // namespace gorsetrail::edge
--- a/src/edge/edge_daemon_peers.cpp
+++ b/src/edge/edge_daemon_peers.cpp
@@ -18,7 +18,7 @@
 /// Interval at which a node checks if its changed readiness can be announced.
 constexpr Duration kAnnounceCheckPeriod = milliseconds(200);
 constexpr Duration kLoadPeriod = milliseconds(100);
-/// Interval at which a node without requests scans its replicas, to end doubtful and cold states.
+/// Interval at which a node without requests scans its replicas, to end lapsed and cold states.
 constexpr Duration kIdleLoadPeriod = seconds(1);
 /// Lifetime of the cached list of nodes that serve clients.
 constexpr Duration kLoadPeersCacheTime = milliseconds(500);
--- a/src/edge/exchange_liveness.cpp
+++ b/src/edge/exchange_liveness.cpp
@@ -55,7 +55,7 @@
   const routing::ReplicaPtr witness = context_.placement.witnessFor(*replica_);
   const std::string witnessAddress = witness ? witness->entry.address : std::string();
   checkReachability(
-      context_.client, replica_->entry.address, witnessAddress, context_.knobs.reachabilityLimit,
+      context_.client, replica_->entry.address, witnessAddress, context_.knobs.reachabilityTimeout,
       [weak = weak_from_this(), number = dispatchNumber_, witnessAddress,
        callback = std::move(callback)](Reachability reach) {
         const auto self = weak.lock();
--- a/src/edge/request_check.cpp
+++ b/src/edge/request_check.cpp
@@ -18,7 +18,7 @@
 /// \return whether the active configuration is recent enough to refuse a request permanently for
 /// something that it lacks.
 bool isConfigurationFresh(const EdgeContext& context, Instant now) {
-  return now - context.freshness.configurationReadAt <= context.knobs.maximumConfigurationAge;
+  return now - context.storeReadTimes.configurationReadAt <= context.knobs.maximumConfigurationAge;
 }
 
 std::optional<Refusal> findRoute(EdgeContext& context, const CallRequest& call, Instant now,
--- a/src/edge/turn_retention_policy.cpp
+++ b/src/edge/turn_retention_policy.cpp
@@ -9,9 +9,9 @@
   return {reason, std::max(Duration::zero(), Duration(static_cast<Duration::rep>(share)))};
 }
 
-RetentionDecision TurnRetentionPolicy::decide(bool storeAnswers, std::size_t bytes,
+RetentionDecision TurnRetentionPolicy::decide(bool isStoreAvailable, std::size_t bytes,
                                               Duration timeLeft) const {
-  if (storeAnswers) {
+  if (isStoreAvailable) {
     return TurnAdmitted{};
   }
   if (!knobs_.holdStreamEnds) {
@@ -26,8 +26,8 @@
   return TurnAdmitted{};
 }
 
-void TurnRetentionPolicy::onTurnStarted(bool storeAnswers, std::size_t bytes) {
-  counters_.startedDuringOutage += storeAnswers ? 0 : 1;
+void TurnRetentionPolicy::onTurnStarted(bool isStoreAvailable, std::size_t bytes) {
+  counters_.startedDuringOutage += isStoreAvailable ? 0 : 1;
   retainedBytes_ += bytes;
 }
 
--- a/src/edge/turn_retention_policy.h
+++ b/src/edge/turn_retention_policy.h
@@ -63,10 +63,10 @@
 
   /// Decides whether a turn may run now.
   ///
-  /// \param storeAnswers whether the store is expected to accept the turn's record now.
+  /// \param isStoreAvailable whether the store is expected to accept the turn's record now.
   /// \param bytes known size of the turn; it is not yet included in `retainedBytes`.
   /// \param timeLeft until the caller's deadline.
-  [[nodiscard]] RetentionDecision decide(bool storeAnswers, std::size_t bytes,
+  [[nodiscard]] RetentionDecision decide(bool isStoreAvailable, std::size_t bytes,
                                          Duration timeLeft) const;
 
   /// \param timeLeft until the answer must be sent.
@@ -74,7 +74,7 @@
   [[nodiscard]] Duration holdLimit(Duration timeLeft) const;
 
   /// Adds the turn's bytes to `retainedBytes` until `onTurnEnded`.
-  void onTurnStarted(bool storeAnswers, std::size_t bytes);
+  void onTurnStarted(bool isStoreAvailable, std::size_t bytes);
   void onTurnEnded(std::size_t bytes) { retainedBytes_ -= bytes; }
 
   /// Counts a held stream end; the caller must call `onHoldEnded` once for it.
--- a/tests/edge/exchange_test.cpp
+++ b/tests/edge/exchange_test.cpp
@@ -111,7 +111,7 @@
 
 // Guards against a refusal by a capacity that a newer configuration may have raised.
 TEST(Exchange, skipsTheSizeCheckWithAStaleConfiguration) {
-  world.context.freshness.configurationReadAt =
+  world.context.storeReadTimes.configurationReadAt =
       world.timers.now - world.context.knobs.maximumConfigurationAge - milliseconds(1);
   CallRequest call = ExchangeWorld::turn("again");
   call.promptTokens = 6000;
--- a/tests/edge/exchange_world.h
+++ b/tests/edge/exchange_world.h
@@ -146,7 +146,7 @@
     service.engine = routing::EngineProfile{4, 9, 5000};
     configuration->services.emplace("model", service);
     routes.apply(configuration);
-    context.freshness.configurationReadAt = timers.now;
+    context.storeReadTimes.configurationReadAt = timers.now;
   }
 
   /// Clears the observers, which otherwise keep unfinished exchanges alive.
