--- a/src/http/address.h
+++ b/src/http/address.h
@@ -1,4 +1,4 @@
-/// \file Check of `ip:port` addresses, without Asio in its header.
+/// \file Validation of `ip:port` addresses; does not include Asio.
 #pragma once
 
 #include <string_view>
--- a/src/http/client_operation.cpp
+++ b/src/http/client_operation.cpp
@@ -14,7 +14,8 @@
 using boost::system::error_code;
 
 constexpr std::size_t kReadBytes = std::size_t{8} * 1024;
-/// A kept connection is not used in the last moments before the server closes it.
+/// Safety margin before the idle timeout that the server announces, so that a request is not sent
+/// while the server closes the connection.
 constexpr std::chrono::milliseconds kIdleTimeMargin{500};
 
 bool hasControlCharacter(std::string_view text) {
@@ -49,7 +50,7 @@
       connectTimer_(context) {}
 
 void ClientOperation::start() {
-  // Posted, so that no callback runs inside `send`.
+  // Posted so that no callback runs inside `send`.
   asio::post(context_, [self = shared_from_this()] { self->begin(); });
 }
 
@@ -70,7 +71,7 @@
   }
   startTimer();
   const std::shared_ptr<ConnectionPool> pool = pool_.lock();
-  socket_ = pool ? pool->take(request_.address) : std::nullopt;
+  socket_ = pool ? pool->acquire(request_.address) : std::nullopt;
   reused_ = socket_.has_value();
   if (reused_) {
     writeRequest();
@@ -119,7 +120,7 @@
   socket_.emplace(context_);
   error_code ignored;
   socket_->open(endpoint_->protocol(), ignored);
-  limitUnacknowledgedTime(*socket_);
+  setTcpUserTimeout(*socket_);
   startConnectTimer();
   socket_->async_connect(*endpoint_, [self = shared_from_this()](const error_code& error) {
     self->onConnected(error);
@@ -153,7 +154,7 @@
 }
 
 void ClientOperation::writeRequest() {
-  // From here on a time limit can't tell whether bytes left, so it counts as broken.
+  // From here on bytes may have been sent, so a timeout must be reported as `Broken`.
   bytesMayHaveLeft_ = true;
   beast::http::async_write(*socket_, message_,
                            [self = shared_from_this()](const error_code& error, std::size_t bytes) {
@@ -174,8 +175,8 @@
     fail(FailureStage::Broken, "write to " + request_.address + ": " + error.message());
     return;
   }
-  // The kernel refused the first write whole, so no byte left. On a connection from the pool this
-  // is the peer's late close: the request goes out for the first time on a new connection.
+  // The kernel accepted no byte of the request, so sending it again is safe. A reused connection
+  // fails like this when the peer has closed it while it was idle.
   bytesMayHaveLeft_ = false;
   if (reused_) {
     openConnection();
@@ -191,7 +192,7 @@
   parser_->body_limit(kMaximumResponseBodyBytes);
   parser_->skip(request_.method == "HEAD");
   parser_->get().body().onHeadRead = [this] { reportHead(); };
-  parser_->get().body().onBodyRead = [this](std::string_view part) { takeBody(part); };
+  parser_->get().body().onBodyRead = [this](std::string_view part) { deliverBody(part); };
 }
 
 void ClientOperation::readMore() {
@@ -276,7 +277,7 @@
   }
 }
 
-void ClientOperation::takeBody(std::string_view part) {
+void ClientOperation::deliverBody(std::string_view part) {
   if (ended_ || surplus_) {
     return;
   }
@@ -292,7 +293,7 @@
   if (!interim) {
     reportHead();
   }
-  // `onHead` may have cancelled.
+  // `onHead` may have cancelled the request.
   if (ended_) {
     return;
   }
@@ -300,7 +301,7 @@
     readNextResponse();
     return;
   }
-  keepConnection();
+  releaseConnection();
   const auto onDone = std::move(handler_.onDone);
   Response response = std::move(response_);
   end();
@@ -320,23 +321,23 @@
   parseBuffered();
 }
 
-std::chrono::steady_clock::duration ClientOperation::idleTimeAllowed() const {
+std::chrono::steady_clock::duration ClientOperation::reusableIdleTime() const {
   const auto field = parser_->get()[beast::http::field::keep_alive];
   const std::string text(field);
   const std::size_t at = text.find("timeout=");
   if (at == std::string::npos) {
     return kMaximumIdleTime;
   }
-  const int stated = std::atoi(text.c_str() + at + std::string_view("timeout=").size());
-  const std::chrono::steady_clock::duration told = std::chrono::seconds(stated);
-  return std::clamp<std::chrono::steady_clock::duration>(told - kIdleTimeMargin, {},
+  const int timeoutSeconds = std::atoi(text.c_str() + at + std::string_view("timeout=").size());
+  const std::chrono::steady_clock::duration serverTimeout = std::chrono::seconds(timeoutSeconds);
+  return std::clamp<std::chrono::steady_clock::duration>(serverTimeout - kIdleTimeMargin, {},
                                                          kMaximumIdleTime);
 }
 
-void ClientOperation::keepConnection() {
+void ClientOperation::releaseConnection() {
   const std::shared_ptr<ConnectionPool> pool = pool_.lock();
   if (pool && parser_->keep_alive() && buffer_.size() == 0) {
-    pool->give(request_.address, std::move(*socket_), idleTimeAllowed());
+    pool->release(request_.address, std::move(*socket_), reusableIdleTime());
     socket_.reset();
   }
 }
@@ -359,7 +360,8 @@
     error_code ignored;
     socket_->close(ignored);
   }
-  // The callbacks may own the handle of this operation: dropped later, since one may be running.
+  // The callbacks may own this operation, so they are released to break the cycle. Posted because
+  // one of them may be running.
   asio::post(context_, [self = shared_from_this()] { self->handler_ = {}; });
   if (onEnded_) {
     onEnded_(this);
--- a/src/http/client_operation.h
+++ b/src/http/client_operation.h
@@ -1,4 +1,4 @@
-/// \file One client request from connecting to its last response byte.
+/// \file State machine of one client request, from connecting to the end of the response.
 #pragma once
 
 #include <boost/asio/basic_waitable_timer.hpp>
@@ -18,18 +18,17 @@
 
 namespace gorsetrail::http {
 
-/// Longest head of a response, in bytes.
+/// A response with a larger head fails as malformed.
 inline constexpr std::uint32_t kMaximumResponseHeadBytes = 16 * 1024;
-/// Longest body of a response, in bytes.
+/// A response with a larger body fails as malformed.
 inline constexpr std::uint64_t kMaximumResponseBodyBytes = std::uint64_t{64} * 1024 * 1024;
 
-/// The life of one request. Bytes leave at most once: a request is written on one connection
-/// only, and another connection is opened only while certainly no byte of it was taken by the
-/// kernel.
+/// Sends one request at most once and reads its response. A second connection is opened only if
+/// the kernel accepted no byte of the request on the first.
 class ClientOperation final : public RequestHandle,
                               public std::enable_shared_from_this<ClientOperation> {
  public:
-  /// \param onEnded called once when the operation ends, also when it is cancelled.
+  /// \param onEnded called once when the operation completes, fails or is cancelled.
   ClientOperation(boost::asio::io_context& context, std::weak_ptr<ConnectionPool> pool,
                   Request request, ResponseHandler handler,
                   std::function<void(ClientOperation*)> onEnded);
@@ -52,11 +51,11 @@
   void parseBuffered();
   void onPeerClosed();
   void reportHead();
-  void takeBody(std::string_view part);
+  void deliverBody(std::string_view part);
   void finishResponse();
   void readNextResponse();
-  void keepConnection();
-  [[nodiscard]] std::chrono::steady_clock::duration idleTimeAllowed() const;
+  void releaseConnection();
+  [[nodiscard]] std::chrono::steady_clock::duration reusableIdleTime() const;
   void fail(FailureStage stage, const std::string& reason);
   bool end();
 
@@ -76,7 +75,7 @@
   bool reused_ = false;
   bool bytesMayHaveLeft_ = false;
   bool headReported_ = false;
-  bool surplus_ = false;  ///< The response being read is not this request's own.
+  bool surplus_ = false;  ///< The response being read belongs to an earlier request.
   bool ended_ = false;
 };
 
--- a/src/http/connection_pool.cpp
+++ b/src/http/connection_pool.cpp
@@ -8,7 +8,8 @@
 namespace gorsetrail::http {
 namespace {
 
-/// Nothing must be readable on an idle connection: neither an end of stream nor stray bytes.
+/// A readable idle connection has been closed by the peer or holds unexpected bytes; it must not be
+/// reused.
 bool isStillIdle(Socket& socket) {
   char byte = 0;
   const ssize_t got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -25,7 +26,7 @@
   return std::chrono::steady_clock::now() < found->second.back().usableUntil;
 }
 
-std::optional<Socket> ConnectionPool::take(const std::string& address) {
+std::optional<Socket> ConnectionPool::acquire(const std::string& address) {
   const auto found = idle_.find(address);
   if (found == idle_.end()) {
     return std::nullopt;
@@ -44,11 +45,11 @@
   return std::nullopt;
 }
 
-void ConnectionPool::give(const std::string& address, Socket socket,
-                          std::chrono::steady_clock::duration idleTime) {
+void ConnectionPool::release(const std::string& address, Socket socket,
+                             std::chrono::steady_clock::duration idleTime) {
   std::deque<IdleConnection>& connections = idle_[address];
   connections.push_back({std::move(socket), std::chrono::steady_clock::now() + idleTime});
-  if (connections.size() > kMaximumIdlePerAddress) {
+  if (connections.size() > kMaximumIdleConnectionsPerAddress) {
     connections.pop_front();
   }
 }
--- a/src/http/connection_pool.h
+++ b/src/http/connection_pool.h
@@ -1,4 +1,4 @@
-/// \file Idle client connections by address.
+/// \file Pool of idle keep-alive client connections.
 #pragma once
 
 #include <chrono>
@@ -10,29 +10,29 @@
 
 namespace gorsetrail::http {
 
-/// Idle connections kept for one address.
-inline constexpr std::size_t kMaximumIdlePerAddress = 16;
-/// An idle connection older than this is closed when it is met.
+/// The oldest idle connection to an address is closed when this number is exceeded.
+inline constexpr std::size_t kMaximumIdleConnectionsPerAddress = 16;
+/// Longest time that a connection may be idle and still be reused.
 inline constexpr std::chrono::seconds kMaximumIdleTime{30};
 
-/// Bounded pool of idle keep-alive connections.
+/// Idle keep-alive connections by address, bounded per address.
 class ConnectionPool {
  public:
-  /// \return an open idle connection to the address; nothing when there is none.
-  /// Connections that the peer closed while they were idle are dropped here, before a byte of the
-  /// next request is written: else that common case would end as an unknown outcome.
-  std::optional<Socket> take(const std::string& address);
+  /// Discards idle connections that have expired or that the peer closed, because a request
+  /// written to a closed connection would end with an unknown outcome.
+  /// \return an open idle connection to the address, or nothing when there is none.
+  std::optional<Socket> acquire(const std::string& address);
 
-  /// \return whether `take` would probably find one.
+  /// \return whether an unexpired connection is idle; the peer may still have closed it.
   [[nodiscard]] bool hasIdle(const std::string& address) const;
 
-  /// Keeps a connection whose last response was read whole.
-  /// \param idleTime how long it may rest before it is no longer used.
-  void give(const std::string& address, Socket socket,
-            std::chrono::steady_clock::duration idleTime = kMaximumIdleTime);
+  /// Returns a connection to the pool. Its last response must have been read completely.
+  /// \param idleTime how long the connection may be idle before it must not be reused.
+  void release(const std::string& address, Socket socket,
+               std::chrono::steady_clock::duration idleTime = kMaximumIdleTime);
 
   /// Closes the idle connections to the address.
-  void drop(const std::string& address) { idle_.erase(address); }
+  void closeIdle(const std::string& address) { idle_.erase(address); }
 
  private:
   struct IdleConnection {
--- a/src/http/endpoint.cpp
+++ b/src/http/endpoint.cpp
@@ -29,14 +29,13 @@
   return host;
 }
 
-/// Longest time that sent bytes may stay unacknowledged.
-constexpr unsigned kUnacknowledgedMilliseconds = 3000;
+constexpr unsigned kTcpUserTimeoutMs = 3000;
 
 }  // namespace
 
-void limitUnacknowledgedTime(Socket& socket) {
-  ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &kUnacknowledgedMilliseconds,
-               sizeof(kUnacknowledgedMilliseconds));
+void setTcpUserTimeout(Socket& socket) {
+  ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &kTcpUserTimeoutMs,
+               sizeof(kTcpUserTimeoutMs));
 }
 
 std::optional<boost::asio::ip::tcp::endpoint> parseEndpoint(std::string_view address) {
--- a/src/http/endpoint.h
+++ b/src/http/endpoint.h
@@ -1,4 +1,4 @@
-/// \file Addresses as Asio endpoints; for the I/O code of this folder and its tests.
+/// \file Address parsing to Asio endpoints, and socket options.
 #pragma once
 
 #include <boost/asio/basic_stream_socket.hpp>
@@ -13,11 +13,11 @@
 using Socket =
     boost::asio::basic_stream_socket<boost::asio::ip::tcp, boost::asio::io_context::executor_type>;
 
-/// Ends a connection whose bytes the peer does not acknowledge for some seconds: a machine that
-/// is cut off or without power says nothing.
-void limitUnacknowledgedTime(Socket& socket);
+/// Sets `TCP_USER_TIMEOUT`, so that a connection fails when sent bytes stay unacknowledged because
+/// the peer's machine lost its network or power.
+void setTcpUserTimeout(Socket& socket);
 
-/// \return the endpoint of `ipv4:port` or `[ipv6]:port`; nothing when it is not one.
+/// \return the endpoint of `ipv4:port` or `[ipv6]:port`, or nothing when the address is invalid.
 std::optional<boost::asio::ip::tcp::endpoint> parseEndpoint(std::string_view address);
 
 }  // namespace gorsetrail::http
--- a/src/http/exchange_writer.cpp
+++ b/src/http/exchange_writer.cpp
@@ -15,7 +15,7 @@
   ExchangeWriter& operator=(const ExchangeWriter&) = delete;
   ~ExchangeWriter() override {
     if (const auto connection = connection_.lock()) {
-      connection->dropWriter(exchange_);
+      connection->onWriterDestroyed(exchange_);
     }
   }
 
--- a/src/http/exchange_writer.h
+++ b/src/http/exchange_writer.h
@@ -1,4 +1,4 @@
-/// \file The response writer that the server hands out with each request.
+/// \file Creates the response writer that the server passes to the request handler.
 #pragma once
 
 #include <cstdint>
@@ -10,8 +10,8 @@
 
 class ServerConnection;
 
-/// \return a writer of exchange number `exchange`; it holds the connection weakly, since the user
-/// may keep it for long.
+/// Creates a response writer for the request with number `exchange`. The writer holds a weak
+/// reference, so that a handler that keeps it does not keep the connection alive.
 ResponseWriterPtr makeExchangeWriter(std::weak_ptr<ServerConnection> connection,
                                      std::uint64_t exchange);
 
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -13,7 +13,7 @@
 
 using boost::system::error_code;
 
-/// One connection that is opened to see whether anything answers.
+/// Implements `HttpClient::checkReachable` for one address.
 class ReachabilityCheck : public std::enable_shared_from_this<ReachabilityCheck> {
  public:
   ReachabilityCheck(boost::asio::io_context& context, std::weak_ptr<ConnectionPool> pool,
@@ -50,8 +50,8 @@
     if (!error && pool) {
       error_code ignored;
       socket_.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
-      limitUnacknowledgedTime(socket_);
-      pool->give(address_, std::move(socket_));
+      setTcpUserTimeout(socket_);
+      pool->release(address_, std::move(socket_));
     }
     const bool refused = error == boost::asio::error::connection_refused ||
                          error == boost::asio::error::connection_reset;
@@ -83,11 +83,12 @@
   PooledHttpClient(const PooledHttpClient&) = delete;
   PooledHttpClient& operator=(const PooledHttpClient&) = delete;
 
-  /// Requests under way are cancelled: their callbacks may refer to what goes with the client.
+  /// Cancels active requests, because their callbacks may refer to objects that are destroyed
+  /// together with the client.
   ~PooledHttpClient() override {
-    const OperationTable underWay = std::move(*underWay_);
-    underWay_->clear();
-    for (const auto& [key, operation] : underWay) {
+    const OperationTable operations = std::move(*activeOperations_);
+    activeOperations_->clear();
+    for (const auto& [key, operation] : operations) {
       if (const auto locked = operation.lock()) {
         locked->cancel();
       }
@@ -95,14 +96,14 @@
   }
 
   RequestHandlePtr send(Request request, ResponseHandler handler) override {
-    const std::weak_ptr<OperationTable> table = underWay_;
+    const std::weak_ptr<OperationTable> table = activeOperations_;
     auto operation = std::make_shared<ClientOperation>(
         context_, pool_, std::move(request), std::move(handler), [table](ClientOperation* ended) {
           if (const auto locked = table.lock()) {
             locked->erase(ended);
           }
         });
-    underWay_->emplace(operation.get(), operation);
+    activeOperations_->emplace(operation.get(), operation);
     operation->start();
     return operation;
   }
@@ -111,7 +112,7 @@
     return pool_->hasIdle(address);
   }
 
-  void closeIdleConnections(const std::string& address) override { pool_->drop(address); }
+  void closeIdleConnections(const std::string& address) override { pool_->closeIdle(address); }
 
   void checkReachable(const std::string& address, Duration limit,
                       std::function<void(bool)> callback) override {
@@ -122,7 +123,7 @@
  private:
   boost::asio::io_context& context_;
   std::shared_ptr<ConnectionPool> pool_ = std::make_shared<ConnectionPool>();
-  std::shared_ptr<OperationTable> underWay_ = std::make_shared<OperationTable>();
+  std::shared_ptr<OperationTable> activeOperations_ = std::make_shared<OperationTable>();
 };
 
 }  // namespace
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -1,4 +1,5 @@
-/// \file HTTP/1.1 client without Beast in its header. One I/O context, callbacks on its thread.
+/// \file Asynchronous HTTP/1.1 client; does not include Beast. Callbacks run on the thread of its
+/// I/O context.
 #pragma once
 
 #include <cstdint>
@@ -27,42 +28,43 @@
   std::string target = "/";
   std::vector<Header> headers;
   std::string body;
-  Duration timeLimit = seconds(30);
-  /// Longest time for a new connection to come up; zero: only `timeLimit` holds.
+  Duration timeLimit = seconds(30);  ///< For the whole request, connecting included.
+  /// Timeout for establishing a new connection; zero means that only `timeLimit` applies.
   Duration connectTimeLimit = Duration::zero();
 };
 
 struct Response {
   unsigned status = 0;
   std::vector<Header> headers;
-  std::string body;  ///< Empty when `onBody` took it.
+  std::string body;  ///< Empty when `onBody` is set.
 };
 
-/// Why a request got no whole response.
+/// How far a request came before it failed.
 enum class FailureStage : std::uint8_t {
-  NotSent,  ///< Not one byte of the request left: refused connection, unusable address.
-  Broken,   ///< After the first byte: cut, time-out, malformed response.
+  NotSent,  ///< No byte was sent, so the server has not seen the request.
+  Broken,   ///< Bytes may have been sent; the outcome at the server is unknown.
 };
 struct Failure {
   FailureStage stage = FailureStage::Broken;
   std::string reason;
 };
 
-/// Called on the I/O thread; exactly one of `onDone`, `onFailure` ends a request, unless it is
-/// cancelled first.
+/// Callbacks of one request, run on the I/O thread. Exactly one of `onDone` and `onFailure` is
+/// called, unless the request is cancelled first.
 struct ResponseHandler {
-  /// Optional: \return whether a response is this request's own. Others are surplus answers to
-  /// earlier requests of the connection: they are read to their end and dropped.
+  /// Optional: returns whether a response belongs to this request. Other responses are surplus
+  /// responses to earlier requests on the connection; they are read and discarded.
   std::function<bool(unsigned status, const std::vector<Header>&)> isOwn;
-  /// Optional: head of the response, before any body.
+  /// Optional: called with the status and headers before any part of the body.
   std::function<void(unsigned status, const std::vector<Header>&)> onHead;
-  /// Optional: parts of the body as they come (streams); else the body is gathered.
+  /// Optional: called with each part of the body as it arrives. When empty, the body is collected
+  /// in `Response::body`.
   std::function<void(std::string_view part)> onBody;
   std::function<void(Response)> onDone;
   std::function<void(Failure)> onFailure;
 };
 
-/// A request under way. Destroying it does not cancel it.
+/// Handle of a request in progress. Destroying the handle does not cancel the request.
 class RequestHandle {
  public:
   virtual ~RequestHandle() = default;
@@ -71,30 +73,33 @@
 };
 using RequestHandlePtr = std::shared_ptr<RequestHandle>;
 
-/// Keeps idle connections per address (a bounded number) and reuses them; a request that fails on
-/// a reused connection before any byte of the response came is NOT silently sent again.
+/// HTTP client with a bounded pool of idle connections per address. A request that fails after
+/// bytes may have been sent is never retried, also on a reused connection.
 class HttpClient {
  public:
   virtual ~HttpClient() = default;
   virtual RequestHandlePtr send(Request request, ResponseHandler handler) = 0;
-  /// \return whether a request to the address would probably need no new connection.
+  /// \return whether the pool has an unexpired idle connection to the address; the peer may still
+  /// have closed it.
   [[nodiscard]] virtual bool hasIdleConnection(const std::string& /*address*/) const {
     return false;
   }
-  /// Closes the idle connections to an address whose process has ended. A machine that lost its
-  /// power closes none: the next request on one of them would wait for an answer in vain.
+  /// Closes the idle connections to an address whose process is known to have ended. A machine
+  /// that lost power sends no FIN, so a request on such a connection would run into its timeout.
   virtual void closeIdleConnections(const std::string& /*address*/) {}
-  /// Opens a connection, kept for later requests if it comes up. Calls back once with whether
-  /// anything answered within the limit: a refusal is an answer, silence is none.
+  /// Opens a connection and adds it to the pool if it is established. Calls back once:
+  /// `reachable` is true when the connection was established, refused or reset within `limit`,
+  /// and false on a timeout or another error.
   virtual void checkReachable(const std::string& address, Duration limit,
                               std::function<void(bool reachable)> callback) = 0;
 };
 using HttpClientPtr = std::unique_ptr<HttpClient>;
 
-/// \param context outlives the client.
+/// \param context must outlive the client.
 HttpClientPtr makeHttpClient(boost::asio::io_context& context);
 
-/// Blocking convenience for the command line and tests: one request, its response or failure.
+/// Sends one request and blocks until it ends; for the command line and tests.
+/// \return the response and the reason of the failure, which is empty on success.
 std::pair<Response, std::string> sendAndWait(const Request& request);
 
 }  // namespace gorsetrail::http
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -24,7 +24,7 @@
       : context_(context),
         acceptor_(context),
         sweepTimer_(context),
-        shared_(std::make_shared<ServerShared>()) {
+        shared_(std::make_shared<ServerContext>()) {
     shared_->options = std::move(options);
     if (!shared_->options.clock) {
       shared_->options.clock = steadyNow;
@@ -35,7 +35,7 @@
     const std::string& address = shared_->options.listenAddress;
     const auto endpoint = parseListenEndpoint(address);
     if (!endpoint) {
-      return listenError("it is not `ip:port`");
+      return listenError("expected `ip:port`");
     }
     error_code error;
     acceptor_.open(endpoint->protocol(), error);
@@ -88,7 +88,7 @@
     acceptor_.close(ignored);
     sweepTimer_.cancel();
     for (const auto& connection : copyOfConnections()) {
-      connection->abandon();
+      connection->closeWithoutCallbacks();
     }
   }
 
@@ -125,7 +125,7 @@
       return;
     }
     if (error) {
-      acceptPaused_ = true;  // Out of descriptors, mostly: the next sweep tries again.
+      acceptPaused_ = true;  // Usually out of file descriptors; `checkTimeLimits` retries.
       return;
     }
     if (connections_.size() >= shared_->options.knobs.maximumConnections) {
@@ -160,7 +160,7 @@
     }
   }
 
-  /// Connections that close take themselves out of the set.
+  /// A copy, because a connection that closes removes itself from `connections_`.
   [[nodiscard]] std::vector<std::shared_ptr<ServerConnection>> copyOfConnections() const {
     return {connections_.begin(), connections_.end()};
   }
@@ -168,13 +168,13 @@
   asio::io_context& context_;
   Acceptor acceptor_;
   asio::steady_timer sweepTimer_;
-  std::shared_ptr<ServerShared> shared_;
+  std::shared_ptr<ServerContext> shared_;
   std::unordered_set<std::shared_ptr<ServerConnection>> connections_;
   bool acceptPaused_ = false;
   bool stopped_ = false;
 };
 
-/// Handlers that are under way keep the server itself, not this handle.
+/// Stops the server when destroyed. Needed because the server has shared ownership.
 class ServerHandle final : public HttpServer {
  public:
   explicit ServerHandle(std::shared_ptr<BeastHttpServer> server) : server_(std::move(server)) {}
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -1,5 +1,5 @@
-/// \file Small HTTP/1.1 server without Beast in its header: requests in, response writers out.
-/// One I/O context; everything runs on its thread.
+/// \file Asynchronous HTTP/1.1 server; does not include Beast. Callbacks run on the thread of its
+/// I/O context.
 #pragma once
 
 #include <cstdint>
@@ -15,100 +15,101 @@
 
 namespace gorsetrail::http {
 
-/// A request that was read whole.
+/// A completely received request.
 struct ServerRequest {
   std::string method;
   std::string target;
-  std::vector<Header> headers;  ///< In the order they came, duplicates included.
+  std::vector<Header> headers;  ///< In the order received, duplicates included.
   std::string body;
 };
 
-/// A response whose body is known whole. `Content-Length` and `Connection` are added.
+/// A response with a complete body. The server adds `Content-Length` and `Connection`.
 struct WholeResponse {
   unsigned status = 200;
   std::vector<Header> headers;
   std::string body;
 };
 
-/// What the writer of a response is told; neither is called inside one of the writer's methods.
+/// Events of one response. Neither callback runs inside a method of `ResponseWriter`.
 struct ResponseObserver {
-  /// The caller closed its connection, or stopped reading, before the response's end; at most once.
+  /// The client disconnected or stopped reading before the end of the response; called at most
+  /// once.
   std::function<void()> onGone;
-  /// Everything written so far is with the kernel; more may be written.
+  /// The kernel has accepted all bytes written so far; more may be written.
   std::function<void()> onFlushed;
 };
 
-/// Writes the response of one request: either `sendWhole`, or `beginStream`, `write`..., and
-/// `endStream`. Calls after the response's end, or after the caller has gone, do nothing; so a
-/// writer can never reach the next response of its connection. Destroying a writer before the
-/// response's end closes the connection.
+/// Writes the response to one request: either `sendWhole`, or `beginStream`, any number of `write`
+/// and `endStream`. Calls after the end of the response or after a disconnect do nothing, so that
+/// a writer cannot affect the next response on its connection. Destroying a writer before the end
+/// of the response closes the connection.
 class ResponseWriter {
  public:
   virtual ~ResponseWriter() = default;
   virtual void observe(ResponseObserver observer) = 0;
   virtual void sendWhole(WholeResponse response) = 0;
   virtual void beginStream(unsigned status, const std::vector<Header>& headers) = 0;
-  /// Queues bytes; everything queued by one handler leaves in one write.
+  /// Queues bytes; all bytes queued by one handler are sent in one write.
   virtual void write(std::string_view bytes) = 0;
   virtual void endStream() = 0;
-  /// \return bytes that wait for the caller to read.
+  /// \return the bytes that are queued or part of the write in progress.
   [[nodiscard]] virtual std::size_t bytesWaiting() const = 0;
 };
 using ResponseWriterPtr = std::unique_ptr<ResponseWriter>;
 
-/// What was wrong with a request that never became a `ServerRequest`.
+/// Why a request could not be read.
 enum class ProtocolFault : std::uint8_t {
-  Malformed,        ///< Not HTTP, bad characters in a header, contradicting lengths.
+  Malformed,        ///< Not HTTP, forbidden characters, conflicting lengths.
   HeadTooLarge,     ///< Over `maximumHeadBytes`.
   BodyTooLarge,     ///< Over `maximumBodyBytes`.
-  RequestTimedOut,  ///< The request did not come whole in time.
+  RequestTimedOut,  ///< The head or body exceeded its time limit.
 };
 
-/// Limits and timings of the server.
-struct HttpServerKnobs {
+/// Size limits and timeouts of the server.
+struct HttpServerLimits {
   std::uint32_t maximumHeadBytes = 16 * 1024;
   std::uint64_t maximumBodyBytes = std::uint64_t{1024} * 1024;
   std::size_t maximumConnections = 1024;
-  Duration headTimeLimit = seconds(10);   ///< From the first byte of a request to its last header.
-  Duration bodyTimeLimit = seconds(30);   ///< From the last header to the last byte.
+  Duration headTimeLimit = seconds(10);   ///< From the first byte to the end of the head.
+  Duration bodyTimeLimit = seconds(30);   ///< From the end of the head to the end of the body.
   Duration idleTimeLimit = seconds(75);   ///< Between requests.
-  Duration writeTimeLimit = seconds(30);  ///< A write that the caller does not take.
-  Duration sweepPeriod = seconds(1);      ///< How often the time limits are looked at.
-  /// Bytes of responses that callers do not take, of all connections together. Past it the
-  /// connection that would add to them is cut; callers that read are not touched. Without a limit
-  /// a thousand callers that stop reading answers of 1 MB end a process of 88 MB.
+  Duration writeTimeLimit = seconds(30);  ///< For one write to the kernel to complete.
+  Duration sweepPeriod = seconds(1);      ///< How often the time limits are checked.
+  /// Bytes of blocked writes and of the data queued behind them, over all connections. A connection
+  /// that would exceed the limit is closed, so that clients that stop reading cannot exhaust the
+  /// memory.
   std::uint64_t maximumUntakenBytes = std::uint64_t{64} * 1024 * 1024;
 };
 
-/// Counters for `/metrics`; all only rise, but for the gauges.
+/// Values for `/metrics`: monotonic counters, except where marked as gauges.
 struct HttpServerCounters {
   std::uint64_t connectionsAccepted = 0;
   std::uint64_t connectionsRefused = 0;  ///< Over `maximumConnections`.
-  std::uint64_t requests = 0;            ///< Read whole.
-  std::uint64_t faults = 0;              ///< Answered for a `ProtocolFault`.
-  std::uint64_t requestsCut = 0;         ///< The caller closed amid its request.
-  std::uint64_t responses = 0;           ///< Written whole.
-  std::uint64_t callersGone = 0;         ///< Closed before the response's end.
+  std::uint64_t requests = 0;            ///< Completely received.
+  std::uint64_t faults = 0;              ///< Requests answered with a `ProtocolFault`.
+  std::uint64_t requestsCut = 0;         ///< The client disconnected within a request.
+  std::uint64_t responses = 0;           ///< Completely written.
+  std::uint64_t callersGone = 0;         ///< Disconnected before the end of the response.
   std::uint64_t bytesWritten = 0;
   std::uint64_t connectionsOpen = 0;  ///< Gauge.
-  std::uint64_t responsesOpen = 0;    ///< Gauge: requests read whole, responses not yet written.
-  std::uint64_t bytesUntaken = 0;     ///< Gauge: of responses, that callers do not take.
-  std::uint64_t callersCut = 0;       ///< For `maximumUntakenBytes`.
+  std::uint64_t responsesOpen = 0;    ///< Gauge: received requests without a complete response.
+  std::uint64_t bytesUntaken = 0;     ///< Gauge, limited by `maximumUntakenBytes`.
+  std::uint64_t callersCut = 0;       ///< Connections closed because of `maximumUntakenBytes`.
 };
 
 struct HttpServerOptions {
-  std::string listenAddress;  ///< `ip:port`; port 0 takes any free port.
-  HttpServerKnobs knobs;
+  std::string listenAddress;  ///< `ip:port`; port 0 selects a free port.
+  HttpServerLimits knobs;
   std::function<void(ServerRequest, ResponseWriterPtr)> onRequest;
-  /// Renders the answer to a request that could not be read; the connection closes after it.
+  /// Builds the response to a request that could not be read; the connection is closed after it.
   std::function<WholeResponse(ProtocolFault)> onFault;
-  std::function<Instant()> clock;  ///< For the time limits; the steady clock when empty.
+  std::function<Instant()> clock;  ///< Defaults to the steady clock.
 };
 
-/// What becomes of connections that carry no request when a drain begins.
+/// How a drain treats connections without a request in progress.
 enum class IdleConnections : std::uint8_t {
-  Close,  ///< At once.
-  Keep,   ///< They may bring one more request, whose answer says that the connection closes.
+  Close,  ///< Close them immediately.
+  Keep,   ///< Serve one more request, answered with `Connection: close`.
 };
 
 class HttpServer {
@@ -116,15 +117,15 @@
   virtual ~HttpServer() = default;
   [[nodiscard]] virtual std::uint16_t listeningPort() const = 0;
   [[nodiscard]] virtual HttpServerCounters counters() const = 0;
-  /// Every connection closes after its next response; new ones are still served.
+  /// Closes each connection after its next response. New connections are still accepted.
   virtual void beginDrain(IdleConnections idle = IdleConnections::Close) = 0;
-  /// Closes the listener and every connection; nothing is called back after it.
+  /// Closes the listener and all connections. No callback runs afterwards.
   virtual void stop() = 0;
 };
 using HttpServerPtr = std::unique_ptr<HttpServer>;
 
-/// Starts listening. `context` outlives the server.
-/// Errors: `InvalidSettings` (an address that cannot be read or cannot be listened on).
+/// Starts listening. `context` must outlive the server.
+/// Errors: `InvalidSettings` when the address is invalid or cannot be bound.
 Result<HttpServerPtr> makeHttpServer(boost::asio::io_context& context, HttpServerOptions options);
 
 }  // namespace gorsetrail::http
--- a/src/http/response_parser.h
+++ b/src/http/response_parser.h
@@ -1,4 +1,4 @@
-/// \file Beast parser of a response whose body goes to a callback as it comes.
+/// \file Beast response parser that passes body bytes to a callback as they arrive.
 #pragma once
 
 #include <boost/beast/http/parser.hpp>
@@ -9,12 +9,12 @@
 
 namespace gorsetrail::http {
 
-/// Beast body type that keeps nothing: it hands the bytes on.
-/// `value_type` and `reader` are the names that Beast's Body requirements demand.
+/// Beast body type that passes the bytes on without storing them.
+/// Beast's Body requirements prescribe the names `value_type` and `reader`.
 struct CallbackBody {
   struct value_type {                                  // NOLINT(readability-identifier-naming)
-    std::function<void()> onHeadRead;                  ///< The head is parsed; the body follows.
-    std::function<void(std::string_view)> onBodyRead;  ///< The next bytes of the body.
+    std::function<void()> onHeadRead;                  ///< Called before any body bytes.
+    std::function<void(std::string_view)> onBodyRead;  ///< Called for each part of the body.
   };
 
   class reader {  // NOLINT(readability-identifier-naming)
--- a/src/http/server_connection.cpp
+++ b/src/http/server_connection.cpp
@@ -20,22 +20,22 @@
 using boost::system::error_code;
 
 constexpr unsigned kHttpVersion11 = 11;
-/// A refused caller may still be sending: this much is read and dropped, so that the refusal
-/// reaches it instead of a connection reset.
+/// Input that is read and discarded after the last response, because closing a socket with unread
+/// input sends a reset and the client may lose the response.
 constexpr std::size_t kMaximumDiscardedBytes = std::size_t{4} * 1024 * 1024;
 constexpr std::chrono::seconds kLingerTimeLimit{2};
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
 }  // namespace
 
-ServerConnection::ServerConnection(Socket socket, std::shared_ptr<ServerShared> shared)
+ServerConnection::ServerConnection(Socket socket, std::shared_ptr<ServerContext> shared)
     : socket_(std::move(socket)), shared_(std::move(shared)) {}
 
 void ServerConnection::start() {
   error_code ignored;
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-  limitUnacknowledgedTime(socket_);
-  // For the writes that are tried before they wait: they must not block the thread.
+  setTcpUserTimeout(socket_);
+  // `flush` writes synchronously first, which must not block the thread.
   socket_.non_blocking(true, ignored);
   enter(State::Idle);
   waitReadable();
@@ -43,11 +43,11 @@
 
 void ServerConnection::enter(State state) {
   state_ = state;
-  stateSince_ = shared_->now();
+  stateEnteredAt_ = shared_->now();
 }
 
 Duration ServerConnection::timeLimitOfState() const {
-  const HttpServerKnobs& knobs = shared_->options.knobs;
+  const HttpServerLimits& knobs = shared_->options.knobs;
   switch (state_) {
     case State::Idle:
       return knobs.idleTimeLimit;
@@ -57,7 +57,7 @@
       return knobs.bodyTimeLimit;
     case State::Lingering:
       return kLingerTimeLimit;
-    case State::Answering:
+    case State::Responding:
     case State::Closed:
       break;
   }
@@ -65,15 +65,15 @@
 }
 
 void ServerConnection::checkTimeLimit(Instant now) {
-  if (writing_ && now - writeSince_ > shared_->options.knobs.writeTimeLimit) {
-    callerGone();
+  if (writing_ && now - writeStartedAt_ > shared_->options.knobs.writeTimeLimit) {
+    onClientDisconnected();
     return;
   }
-  if (now - stateSince_ <= timeLimitOfState()) {
+  if (now - stateEnteredAt_ <= timeLimitOfState()) {
     return;
   }
   if (state_ == State::ReadingHead || state_ == State::ReadingBody) {
-    answerFault(ProtocolFault::RequestTimedOut);
+    sendErrorResponse(ProtocolFault::RequestTimedOut);
   } else {
     close();
   }
@@ -85,46 +85,46 @@
   }
 }
 
-void ServerConnection::abandon() {
+void ServerConnection::closeWithoutCallbacks() {
   observer_ = {};
   close();
 }
 
-// One wait serves two ends: in `Idle` it finds the next request, in `Answering` a caller that hung
-// up. So the kernel is never asked twice, and no byte of a next request is taken early.
+// The wait detects the next request in state `Idle` and a disconnect in state `Responding`. It
+// reads no bytes, so a pipelined request stays in the kernel until the response has ended.
 void ServerConnection::waitReadable() {
-  if (watching_) {
+  if (waitingForReadable_) {
     return;
   }
-  watching_ = true;
+  waitingForReadable_ = true;
   socket_.async_wait(Socket::wait_read, [self = shared_from_this()](const error_code& error) {
     self->onReadable(error);
   });
 }
 
 void ServerConnection::onReadable(const error_code& error) {
-  watching_ = false;
+  waitingForReadable_ = false;
   if (state_ == State::Closed) {
     return;
   }
   if (state_ == State::Idle) {
     error ? close() : readHead();
-  } else if (state_ == State::Answering) {
-    error ? callerGone() : checkCallerThere();
+  } else if (state_ == State::Responding) {
+    error ? onClientDisconnected() : checkClientConnected();
   }
 }
 
-void ServerConnection::checkCallerThere() {
+void ServerConnection::checkClientConnected() {
   char byte = 0;
   const ssize_t got = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (got > 0) {
-    return;  // The next request is there already; a hang-up is found by the next write.
+    return;  // A pipelined request is waiting; the next write detects a disconnect.
   }
   if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
     waitReadable();
     return;
   }
-  callerGone();
+  onClientDisconnected();
 }
 
 void ServerConnection::readHead() {
@@ -190,20 +190,21 @@
   buffer_.shrink_to_fit();
   beginExchange();
   waitReadable();
-  shared_->options.onRequest(std::move(request), makeExchangeWriter(weak_from_this(), exchange_));
+  shared_->options.onRequest(std::move(request),
+                             makeExchangeWriter(weak_from_this(), currentExchange_));
 }
 
 void ServerConnection::beginExchange() {
   ++shared_->counters.responsesOpen;
-  ++exchange_;
+  ++currentExchange_;
   responseBegun_ = false;
   responseEnded_ = false;
-  enter(State::Answering);
+  enter(State::Responding);
 }
 
 void ServerConnection::onReadFailed(const error_code& error) {
-  if (!isCut(error)) {
-    answerFault(faultOf(error));
+  if (!isDisconnect(error)) {
+    sendErrorResponse(protocolFaultOf(error));
     return;
   }
   if (error != beast::http::error::end_of_stream) {
@@ -212,14 +213,14 @@
   close();
 }
 
-void ServerConnection::answerFault(ProtocolFault fault) {
+void ServerConnection::sendErrorResponse(ProtocolFault fault) {
   ++shared_->counters.faults;
   keepAlive_ = false;
-  // The operation that reads the request must end before its parser goes.
+  // The pending read uses `parser_`, so it must end before the parser is destroyed.
   error_code ignored;
   socket_.cancel(ignored);
   beginExchange();
-  sendWhole(exchange_, shared_->options.onFault(fault));
+  sendWhole(currentExchange_, shared_->options.onFault(fault));
 }
 
 void ServerConnection::finishExchange() {
@@ -242,23 +243,23 @@
   enter(State::Lingering);
   error_code ignored;
   socket_.shutdown(Socket::shutdown_send, ignored);
-  discardMore();
+  discardInput();
 }
 
-void ServerConnection::discardMore() {
+void ServerConnection::discardInput() {
   socket_.async_read_some(asio::buffer(discarded_),
                           [self = shared_from_this()](const error_code& error, std::size_t bytes) {
                             self->discardedBytes_ += bytes;
                             if (error || self->discardedBytes_ > kMaximumDiscardedBytes) {
                               self->close();
                             } else {
-                              self->discardMore();
+                              self->discardInput();
                             }
                           });
 }
 
-void ServerConnection::callerGone() {
-  if (state_ != State::Answering) {
+void ServerConnection::onClientDisconnected() {
+  if (state_ != State::Responding) {
     close();
     return;
   }
@@ -277,7 +278,7 @@
     return;
   }
   state_ = State::Closed;
-  holdUntaken(0);
+  updateUnreadBytes(0);
   error_code ignored;
   socket_.close(ignored);
   if (shared_->onClosed) {
--- a/src/http/server_connection.h
+++ b/src/http/server_connection.h
@@ -1,4 +1,4 @@
-/// \file One accepted connection: reads requests one after another and writes their responses.
+/// \file One accepted connection of the HTTP server.
 #pragma once
 
 #include <array>
@@ -17,8 +17,9 @@
 
 class ServerConnection;
 
-/// What connections share with their server; it outlives no handler, so they hold it shared.
-struct ServerShared {
+/// State that the server shares with its connections. It has shared ownership because handlers
+/// of a connection may run after the server is destroyed.
+struct ServerContext {
   HttpServerOptions options;
   HttpServerCounters counters;
   bool draining = false;
@@ -27,36 +28,37 @@
   [[nodiscard]] Instant now() const { return options.clock(); }
 };
 
-/// Reading a request, answering it, or waiting: one at a time.
+/// Reads requests from one connection and writes their responses, one request at a time.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
-  ServerConnection(Socket socket, std::shared_ptr<ServerShared> shared);
+  ServerConnection(Socket socket, std::shared_ptr<ServerContext> shared);
 
   void start();
-  /// Closes the connection if its time limit has passed; called by the server's sweep.
+  /// Closes the connection if its time limit has passed; called periodically by the server.
   void checkTimeLimit(Instant now);
   void closeIfIdle();
-  /// Closes without calling anybody back.
-  void abandon();
+  /// Closes the connection without running the callbacks of the response observer.
+  void closeWithoutCallbacks();
 
-  /// \name For the writer of exchange number `exchange`; ignored when that one has ended.
+  /// \name Called by the response writer of request number `exchange`.
+  /// Ignored when the response to that request has ended.
   /// @{
   void observe(std::uint64_t exchange, ResponseObserver observer);
   void sendWhole(std::uint64_t exchange, const WholeResponse& response);
   void beginStream(std::uint64_t exchange, unsigned status, const std::vector<Header>& headers);
   void write(std::uint64_t exchange, std::string_view bytes);
   void endStream(std::uint64_t exchange);
-  void dropWriter(std::uint64_t exchange);
+  void onWriterDestroyed(std::uint64_t exchange);
   [[nodiscard]] std::size_t bytesWaiting(std::uint64_t exchange) const;
   /// @}
 
  private:
-  enum class State : std::uint8_t { Idle, ReadingHead, ReadingBody, Answering, Lingering, Closed };
+  enum class State : std::uint8_t { Idle, ReadingHead, ReadingBody, Responding, Lingering, Closed };
   using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
 
   void waitReadable();
   void onReadable(const boost::system::error_code& error);
-  void checkCallerThere();
+  void checkClientConnected();
   void readHead();
   void onHead(const boost::system::error_code& error);
   void sendContinue();
@@ -65,41 +67,43 @@
   void deliverRequest();
   void beginExchange();
   void onReadFailed(const boost::system::error_code& error);
-  void answerFault(ProtocolFault fault);
+  void sendErrorResponse(ProtocolFault fault);
   void queueHead(unsigned status, const std::vector<Header>& headers,
                  std::optional<std::size_t> contentLength);
   void scheduleFlush();
   void flush();
   void writeRest(std::size_t taken);
-  /// Notes how many bytes the caller does not take. \return whether the connection goes on.
-  bool holdUntaken(std::size_t bytes);
+  /// Updates `HttpServerCounters::bytesUntaken` and closes the connection if the sum exceeds
+  /// `maximumUntakenBytes`.
+  /// \return whether the connection stays open.
+  bool updateUnreadBytes(std::size_t bytes);
   void onWritten(const boost::system::error_code& error, std::size_t bytes);
   void finishExchange();
   void linger();
-  void discardMore();
-  void callerGone();
+  void discardInput();
+  void onClientDisconnected();
   void close();
-  [[nodiscard]] bool isAnswering(std::uint64_t exchange) const;
+  [[nodiscard]] bool isResponding(std::uint64_t exchange) const;
   [[nodiscard]] Duration timeLimitOfState() const;
   void enter(State state);
 
   Socket socket_;
-  std::shared_ptr<ServerShared> shared_;
+  std::shared_ptr<ServerContext> shared_;
   State state_ = State::Idle;
-  Instant stateSince_;
-  Instant writeSince_;
+  Instant stateEnteredAt_;
+  Instant writeStartedAt_;
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
-  std::uint64_t exchange_ = 0;  ///< Number of the request being answered.
+  std::uint64_t currentExchange_ = 0;  ///< Number of the latest request on this connection.
   ResponseObserver observer_;
-  std::string outgoing_;          ///< Bytes of the response that wait for the write under way.
-  std::string inFlight_;          ///< Bytes of the write under way.
-  std::size_t untakenBytes_ = 0;  ///< As counted in `HttpServerCounters::bytesUntaken`.
+  std::string outgoing_;         ///< Response bytes queued for the next write.
+  std::string inFlight_;         ///< Bytes of the write in progress.
+  std::size_t unreadBytes_ = 0;  ///< Share of this connection in `bytesUntaken`.
   std::array<char, 512> discarded_{};
   std::size_t discardedBytes_ = 0;
-  bool watching_ = false;        ///< A wait for readability is under way.
-  bool writing_ = false;         ///< A write is under way.
-  bool flushScheduled_ = false;  ///< A flush is posted.
+  bool waitingForReadable_ = false;  ///< A wait for readability is pending.
+  bool writing_ = false;             ///< An asynchronous write is in progress.
+  bool flushScheduled_ = false;      ///< A flush is posted.
   bool chunked_ = false;
   bool keepAlive_ = false;
   bool responseBegun_ = false;
--- a/src/http/server_connection_writing.cpp
+++ b/src/http/server_connection_writing.cpp
@@ -1,4 +1,4 @@
-// The writing half of `ServerConnection`: what the writer of an exchange asks for.
+/// \file Response writing of `ServerConnection`.
 #include <boost/asio/post.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/http/empty_body.hpp>
@@ -18,18 +18,18 @@
 
 }  // namespace
 
-bool ServerConnection::isAnswering(std::uint64_t exchange) const {
-  return state_ == State::Answering && exchange == exchange_ && !responseEnded_;
+bool ServerConnection::isResponding(std::uint64_t exchange) const {
+  return state_ == State::Responding && exchange == currentExchange_ && !responseEnded_;
 }
 
 void ServerConnection::observe(std::uint64_t exchange, ResponseObserver observer) {
-  if (isAnswering(exchange)) {
+  if (isResponding(exchange)) {
     observer_ = std::move(observer);
   }
 }
 
 void ServerConnection::sendWhole(std::uint64_t exchange, const WholeResponse& response) {
-  if (!isAnswering(exchange) || responseBegun_) {
+  if (!isResponding(exchange) || responseBegun_) {
     return;
   }
   queueHead(response.status, response.headers, response.body.size());
@@ -40,7 +40,7 @@
 
 void ServerConnection::beginStream(std::uint64_t exchange, unsigned status,
                                    const std::vector<Header>& headers) {
-  if (!isAnswering(exchange) || responseBegun_) {
+  if (!isResponding(exchange) || responseBegun_) {
     return;
   }
   keepAlive_ = keepAlive_ && chunked_;
@@ -66,11 +66,11 @@
   if (!keepAlive_) {
     head.set(beast::http::field::connection, "close");
   }
-  outgoing_ += textOfHead(head);
+  outgoing_ += serializeHead(head);
 }
 
 void ServerConnection::write(std::uint64_t exchange, std::string_view bytes) {
-  if (!isAnswering(exchange) || !responseBegun_ || bytes.empty()) {
+  if (!isResponding(exchange) || !responseBegun_ || bytes.empty()) {
     return;
   }
   if (chunked_) {
@@ -78,14 +78,14 @@
   } else {
     outgoing_ += bytes;
   }
-  if (writing_ && !holdUntaken(inFlight_.size() + outgoing_.size())) {
+  if (writing_ && !updateUnreadBytes(inFlight_.size() + outgoing_.size())) {
     return;
   }
   scheduleFlush();
 }
 
 void ServerConnection::endStream(std::uint64_t exchange) {
-  if (!isAnswering(exchange) || !responseBegun_) {
+  if (!isResponding(exchange) || !responseBegun_) {
     return;
   }
   if (chunked_) {
@@ -95,15 +95,15 @@
   scheduleFlush();
 }
 
-void ServerConnection::dropWriter(std::uint64_t exchange) {
-  if (isAnswering(exchange)) {
+void ServerConnection::onWriterDestroyed(std::uint64_t exchange) {
+  if (isResponding(exchange)) {
     observer_ = {};
-    callerGone();
+    onClientDisconnected();
   }
 }
 
 std::size_t ServerConnection::bytesWaiting(std::uint64_t exchange) const {
-  return exchange == exchange_ ? outgoing_.size() + inFlight_.size() : 0;
+  return exchange == currentExchange_ ? outgoing_.size() + inFlight_.size() : 0;
 }
 
 void ServerConnection::scheduleFlush() {
@@ -117,8 +117,8 @@
   });
 }
 
-// Nearly every write fits into the kernel's buffer: it is written here, and only the rest of one
-// that does not waits for the reactor.
+// Writes synchronously first, because most writes fit into the socket's send buffer. Only the
+// remainder is written asynchronously.
 void ServerConnection::flush() {
   if (state_ == State::Closed || writing_ || outgoing_.empty()) {
     return;
@@ -126,32 +126,32 @@
   inFlight_.swap(outgoing_);
   error_code error;
   const std::size_t taken = socket_.write_some(asio::buffer(inFlight_), error);
-  const bool kernelIsFull = error == asio::error::would_block || error == asio::error::try_again;
-  if (kernelIsFull || (!error && taken < inFlight_.size())) {
+  const bool sendBufferFull = error == asio::error::would_block || error == asio::error::try_again;
+  if (sendBufferFull || (!error && taken < inFlight_.size())) {
     writeRest(taken);
   } else {
     onWritten(error, taken);
   }
 }
 
-bool ServerConnection::holdUntaken(std::size_t bytes) {
+bool ServerConnection::updateUnreadBytes(std::size_t bytes) {
   std::uint64_t& all = shared_->counters.bytesUntaken;
-  all = all - untakenBytes_ + bytes;
-  untakenBytes_ = bytes;
+  all = all - unreadBytes_ + bytes;
+  unreadBytes_ = bytes;
   if (bytes == 0 || all <= shared_->options.knobs.maximumUntakenBytes) {
     return true;
   }
   ++shared_->counters.callersCut;
-  callerGone();
+  onClientDisconnected();
   return false;
 }
 
 void ServerConnection::writeRest(std::size_t taken) {
-  if (!holdUntaken(inFlight_.size() - taken + outgoing_.size())) {
+  if (!updateUnreadBytes(inFlight_.size() - taken + outgoing_.size())) {
     return;
   }
   writing_ = true;
-  writeSince_ = shared_->now();
+  writeStartedAt_ = shared_->now();
   shared_->counters.bytesWritten += taken;
   asio::async_write(socket_, asio::buffer(inFlight_) + taken,
                     [self = shared_from_this()](const error_code& error, std::size_t bytes) {
@@ -162,13 +162,13 @@
 void ServerConnection::onWritten(const error_code& error, std::size_t bytes) {
   writing_ = false;
   inFlight_.clear();
-  holdUntaken(0);
+  updateUnreadBytes(0);
   shared_->counters.bytesWritten += bytes;
   if (state_ == State::Closed) {
     return;
   }
   if (error) {
-    callerGone();
+    onClientDisconnected();
     return;
   }
   if (!outgoing_.empty()) {
@@ -178,7 +178,7 @@
   if (responseEnded_) {
     finishExchange();
   } else if (observer_.onFlushed) {
-    // A copy: the observer may end the exchange and so drop itself.
+    // A copy, because the callback may end the response, which clears `observer_`.
     const auto onFlushed = observer_.onFlushed;
     onFlushed();
   }
--- a/src/http/server_message.cpp
+++ b/src/http/server_message.cpp
@@ -12,7 +12,7 @@
 namespace beast = boost::beast;
 using boost::system::error_code;
 
-std::string textOfHead(beast::http::response<beast::http::empty_body>& head) {
+std::string serializeHead(beast::http::response<beast::http::empty_body>& head) {
   beast::http::response_serializer<beast::http::empty_body> serializer(head);
   serializer.split(true);
   std::string text;
@@ -52,7 +52,7 @@
   return request;
 }
 
-ProtocolFault faultOf(const error_code& error) {
+ProtocolFault protocolFaultOf(const error_code& error) {
   if (error == beast::http::error::header_limit || error == beast::http::error::buffer_overflow) {
     return ProtocolFault::HeadTooLarge;
   }
@@ -62,7 +62,7 @@
   return ProtocolFault::Malformed;
 }
 
-bool isCut(const error_code& error) {
+bool isDisconnect(const error_code& error) {
   return error == beast::http::error::end_of_stream ||
          error == beast::http::error::partial_message ||
          error.category() == asio::error::get_system_category() ||
--- a/src/http/server_message.h
+++ b/src/http/server_message.h
@@ -1,4 +1,4 @@
-/// \file Between Beast's messages and the server's own types; for the I/O code of this folder.
+/// \file Conversion between Beast messages and the types of `http_server.h`.
 #pragma once
 
 #include <boost/beast/http/empty_body.hpp>
@@ -12,18 +12,18 @@
 
 namespace gorsetrail::http {
 
-/// \return the head as it goes over the wire, blank line included.
-std::string textOfHead(boost::beast::http::response<boost::beast::http::empty_body>& head);
+/// \return the status line and headers in wire format, including the final blank line.
+std::string serializeHead(boost::beast::http::response<boost::beast::http::empty_body>& head);
 
-/// Appends `bytes` as one chunk of a chunked body.
+/// Appends `bytes` as one chunk of the chunked transfer encoding.
 void appendChunk(std::string& out, std::string_view bytes);
 
 ServerRequest toServerRequest(boost::beast::http::request<boost::beast::http::string_body> message);
 
-/// \return what was wrong with a request that came and could not be read.
-ProtocolFault faultOf(const boost::system::error_code& error);
+/// Classifies a parse error. Must not be called for a disconnect.
+ProtocolFault protocolFaultOf(const boost::system::error_code& error);
 
-/// \return whether the caller closed or the connection broke, as against a wrong request.
-bool isCut(const boost::system::error_code& error);
+/// \return whether the error is a closed or failed connection and not an invalid request.
+bool isDisconnect(const boost::system::error_code& error);
 
 }  // namespace gorsetrail::http
--- a/tests/http/http_client_test.cpp
+++ b/tests/http/http_client_test.cpp
@@ -48,7 +48,7 @@
 
 const std::string kHello = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Kind: greeting\r\n\r\nhello";
 
-/// Answers each whole request head with a fixed text.
+/// Sends a fixed response after each complete request head.
 ScriptedServer::OnBytes answerWith(std::string text) {
   return [text](ScriptedConnection& connection) {
     if (wholeHead(connection)) {
@@ -71,7 +71,7 @@
   }
 };
 
-TEST(HttpClient, GathersAWholeResponse) {
+TEST(HttpClient, CollectsACompleteResponse) {
   ScriptedServer server(context, answerWith(kHello));
   const HttpClientPtr client = makeHttpClient(context);
   client->send(requestTo(server.address()), ending.handler());
@@ -102,7 +102,7 @@
   CHECK_TRUE(seen.find("Content-Length: 7\r\n") != std::string::npos);
 }
 
-TEST(HttpClient, HandsOnStreamedPartsAsTheyCome) {
+TEST(HttpClient, DeliversBodyPartsAsTheyArrive) {
   ScriptedConnection* accepted = nullptr;
   ScriptedServer server(context, [&](ScriptedConnection& connection) {
     accepted = &connection;
@@ -129,7 +129,7 @@
   CHECK_TRUE(ending.failure->stage == FailureStage::NotSent);
 }
 
-TEST(HttpClient, UnusableAddressIsNotSentAndNotReportedInsideSend) {
+TEST(HttpClient, InvalidAddressIsNotSentAndReportedAfterSendReturns) {
   const HttpClientPtr client = makeHttpClient(context);
   client->send(requestTo("localhost"), ending.handler());
   CHECK_FALSE(ending.ended());
@@ -156,7 +156,7 @@
   CHECK_TRUE(ending.failure->stage == FailureStage::Broken);
 }
 
-TEST(HttpClient, CloseAmidTheBodyIsBroken) {
+TEST(HttpClient, CloseWithinTheBodyIsBroken) {
   ScriptedServer server(context, [](ScriptedConnection& connection) {
     connection.send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
     connection.close();
@@ -175,7 +175,7 @@
   CHECK_TRUE(ending.failure->stage == FailureStage::Broken);
 }
 
-TEST(HttpClient, EndlessHeadIsBroken) {
+TEST(HttpClient, OversizedHeadIsBroken) {
   ScriptedServer server(
       context,
       answerWith("HTTP/1.1 200 OK\r\nX-Long: " + std::string(64 * 1024, 'a') + "\r\n\r\n"));
@@ -195,7 +195,7 @@
   CHECK_TRUE(ending.failure->stage == FailureStage::Broken);
 }
 
-TEST(HttpClient, CancelClosesTheConnectionAndNothingIsReported) {
+TEST(HttpClient, CancelClosesTheConnectionWithoutCallbacks) {
   ScriptedServer server(context, [](ScriptedConnection&) {});
   const HttpClientPtr client = makeHttpClient(context);
   const RequestHandlePtr handle = client->send(requestTo(server.address()), ending.handler());
@@ -206,7 +206,7 @@
   LONGS_EQUAL(0, ending.endings);
 }
 
-TEST(HttpClient, CancelInsideABodyPartReportsNothingMore) {
+TEST(HttpClient, CancelInsideOnBodyPreventsFurtherCallbacks) {
   ScriptedServer server(context, answerWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                             "1\r\na\r\n1\r\nb\r\n0\r\n\r\n"));
   const HttpClientPtr client = makeHttpClient(context);
@@ -234,7 +234,7 @@
   LONGS_EQUAL(1, server.connections.size());
 }
 
-TEST(HttpClient, TellsWhetherItHasAnIdleConnection) {
+TEST(HttpClient, ReportsWhetherItHasAnIdleConnection) {
   ScriptedServer server(context, answerWith(kHello));
   const HttpClientPtr client = makeHttpClient(context);
   CHECK_FALSE(client->hasIdleConnection(server.address()));
@@ -272,7 +272,7 @@
   LONGS_EQUAL(2, server.connections.size());
 }
 
-TEST(HttpClient, ARequestBrokenOnAReusedConnectionIsNotSentAgain) {
+TEST(HttpClient, DoesNotRetryARequestThatFailedOnAReusedConnection) {
   int requests = 0;
   ScriptedServer server(context, [&](ScriptedConnection& connection) {
     if (++requests == 1) {
@@ -293,7 +293,7 @@
   LONGS_EQUAL(1, server.connections.size());
 }
 
-TEST(HttpClient, ConnectionWithStrayBytesIsNotReused) {
+TEST(HttpClient, ConnectionWithUnexpectedBytesIsNotReused) {
   ScriptedServer server(context, answerWith(kHello + "stray"));
   const HttpClientPtr client = makeHttpClient(context);
   for (int round = 0; round < 2; ++round) {
@@ -313,7 +313,7 @@
   LONGS_EQUAL(200, ending.response->status);
 }
 
-TEST(HttpClient, DestroyingTheClientReportsNothing) {
+TEST(HttpClient, DestroyingTheClientCancelsRequestsWithoutCallbacks) {
   ScriptedServer server(context, [](ScriptedConnection&) {});
   HttpClientPtr client = makeHttpClient(context);
   client->send(requestTo(server.address()), ending.handler());
@@ -324,7 +324,7 @@
   LONGS_EQUAL(0, ending.endings);
 }
 
-TEST(HttpClient, ACheckTellsSilenceFromARefusal) {
+TEST(HttpClient, ReachabilityCheckCountsARefusalAsReachableButNotATimeout) {
   boost::asio::io_context context;
   const HttpClientPtr client = makeHttpClient(context);
   ScriptedServer server(context, [](ScriptedConnection&) {});
--- a/tests/http/http_server_test.cpp
+++ b/tests/http/http_server_test.cpp
@@ -39,7 +39,7 @@
   int flushed = 0;
   HttpServerPtr server;
 
-  void start(HttpServerKnobs knobs = {}) {
+  void start(HttpServerLimits knobs = {}) {
     knobs.sweepPeriod = milliseconds(1);
     HttpServerOptions options;
     options.listenAddress = "127.0.0.1:0";
@@ -62,7 +62,7 @@
   }
 };
 
-TEST(HttpServer, ReadsARequestAndWritesAWholeResponse) {
+TEST(HttpServer, ReadsARequestAndWritesACompleteResponse) {
   start();
   RawClient client(context, server->listeningPort());
   client.startReading();
@@ -93,7 +93,7 @@
   CHECK_TRUE(client.received.find("first") < client.received.find("second"));
 }
 
-TEST(HttpServer, AWriterNeverReachesTheNextResponse) {
+TEST(HttpServer, AWriterCannotAffectTheNextResponse) {
   start();
   RawClient client(context, server->listeningPort());
   client.startReading();
@@ -140,7 +140,7 @@
   CHECK_TRUE(client.received.ends_with("\r\n\r\nplain"));
 }
 
-TEST(HttpServer, HalfABodyNeverBecomesARequest) {
+TEST(HttpServer, AnIncompleteBodyIsNotDelivered) {
   start();
   RawClient client(context, server->listeningPort());
   client.send("POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf");
@@ -150,7 +150,7 @@
   LONGS_EQUAL(0, server->counters().connectionsOpen);
 }
 
-TEST(HttpServer, HalfAHeadNeverBecomesARequest) {
+TEST(HttpServer, AnIncompleteHeadIsNotDelivered) {
   start();
   RawClient client(context, server->listeningPort());
   client.send("POST /b HT");
@@ -160,7 +160,7 @@
 }
 
 TEST(HttpServer, RefusesAnOversizedBodyBeforeItIsSent) {
-  HttpServerKnobs knobs;
+  HttpServerLimits knobs;
   knobs.maximumBodyBytes = 8;
   start(knobs);
   RawClient client(context, server->listeningPort());
@@ -170,8 +170,8 @@
   LONGS_EQUAL(0, requests.size());
 }
 
-TEST(HttpServer, RefusesAnOversizedChunkedBodyAndTheCallerCanReadWhy) {
-  HttpServerKnobs knobs;
+TEST(HttpServer, RefusesAnOversizedChunkedBodyWithAReadableResponse) {
+  HttpServerLimits knobs;
   knobs.maximumBodyBytes = 8;
   start(knobs);
   RawClient client(context, server->listeningPort());
@@ -192,7 +192,7 @@
   until([&] { return client.has("head_too_large"); });
 }
 
-TEST(HttpServer, RefusesWhatIsNotHttpAndContradictingLengths) {
+TEST(HttpServer, RefusesMalformedRequestsAndConflictingLengths) {
   start();
   const std::vector<std::string> malformed = {
       "\x16\x03\x01\x02\r\n\r\n",
@@ -236,7 +236,7 @@
   LONGS_EQUAL(0, requests.size());
 }
 
-TEST(HttpServer, AnIdleConnectionIsClosedInTheEnd) {
+TEST(HttpServer, AnIdleConnectionIsClosedAfterItsTimeLimit) {
   start();
   RawClient client(context, server->listeningPort());
   client.startReading();
@@ -245,7 +245,7 @@
   until([&] { return client.closedByServer; });
 }
 
-TEST(HttpServer, HangUpMidStreamIsReportedOnce) {
+TEST(HttpServer, DisconnectDuringAStreamIsReportedOnce) {
   start();
   RawClient client(context, server->listeningPort());
   client.startReading();
@@ -265,7 +265,7 @@
   LONGS_EQUAL(0, server->counters().responsesOpen);
 }
 
-TEST(HttpServer, HangUpBeforeTheFirstByteIsReported) {
+TEST(HttpServer, DisconnectBeforeTheFirstResponseByteIsReported) {
   start();
   RawClient client(context, server->listeningPort());
   client.send(kGet);
@@ -274,7 +274,7 @@
   until([&] { return gone == 1; });
 }
 
-TEST(HttpServer, ACallerThatStopsReadingIsGivenUp) {
+TEST(HttpServer, AClientThatStopsReadingIsDisconnected) {
   start();
   RawClient client(context, server->listeningPort());
   client.send(kGet);
@@ -290,9 +290,8 @@
   until([&] { return gone == 1; });
 }
 
-// What the kernel does not take at once must follow whole and in order, also what is written while
-// it waits.
-TEST(HttpServer, AStreamThatIsReadLateArrivesWhole) {
+// Bytes that do not fit into the send buffer, and bytes written meanwhile, must arrive in order.
+TEST(HttpServer, AStreamThatIsReadLateArrivesCompletely) {
   start();
   RawClient client(context, server->listeningPort());
   client.send("GET /a HTTP/1.0\r\nHost: x\r\n\r\n");
@@ -314,7 +313,7 @@
   LONGS_EQUAL(client.received.size(), server->counters().bytesWritten);
 }
 
-TEST(HttpServer, TellsWhenEverythingWrittenIsFlushed) {
+TEST(HttpServer, ReportsWhenAllWrittenBytesAreFlushed) {
   start();
   RawClient client(context, server->listeningPort());
   client.send(kGet);
@@ -328,7 +327,7 @@
   LONGS_EQUAL(1, flushed);
 }
 
-TEST(HttpServer, ADroppedWriterClosesTheConnection) {
+TEST(HttpServer, DestroyingAWriterClosesTheConnection) {
   start();
   RawClient client(context, server->listeningPort());
   client.startReading();
@@ -339,7 +338,7 @@
 }
 
 TEST(HttpServer, ConnectionsOverTheLimitAreClosed) {
-  HttpServerKnobs knobs;
+  HttpServerLimits knobs;
   knobs.maximumConnections = 1;
   start(knobs);
   RawClient first(context, server->listeningPort());
@@ -373,8 +372,7 @@
   CHECK_TRUE(errorOf(made).kind == ErrorKind::InvalidSettings);
 }
 
-// Requests that two readers could read as different ones: refused, and nothing of them is passed
-// on.
+// Guards against request smuggling: two parsers could split these requests differently.
 TEST(HttpServer, RefusesAmbiguousFraming) {
   const char* const ambiguous[] = {
       "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
@@ -398,7 +396,7 @@
   }
 }
 
-TEST(HttpServer, ABodyThatLooksLikeARequestStaysABody) {
+TEST(HttpServer, ABodyThatLooksLikeARequestIsNotParsedAsOne) {
   start();
   RawClient client(context, server->listeningPort());
   client.startReading();
@@ -412,7 +410,7 @@
   LONGS_EQUAL(1, requests.size());
 }
 
-TEST(HttpServer, AFoldedHeaderIsHandedOnInOneLine) {
+TEST(HttpServer, AFoldedHeaderIsDeliveredAsOneLine) {
   start();
   RawClient client(context, server->listeningPort());
   client.send("GET /a HTTP/1.1\r\nHost: x\r\nX-A: b\r\n Injected: c\r\n\r\n");
@@ -423,11 +421,11 @@
   }
 }
 
-// Each answer is larger than what the kernel takes for a caller that does not read.
-TEST(HttpServer, HoldsNoMoreThanItsLimitForCallersThatDoNotRead) {
+// Each response is larger than the send buffer of a client that does not read.
+TEST(HttpServer, LimitsTheBytesQueuedForClientsThatDoNotRead) {
   constexpr std::size_t kAnswerBytes = std::size_t{16} * 1024 * 1024;
   constexpr std::size_t kCallers = 6;
-  HttpServerKnobs knobs;
+  HttpServerLimits knobs;
   knobs.maximumUntakenBytes = 2 * kAnswerBytes;
   start(knobs);
   std::vector<std::unique_ptr<RawClient>> callers;
@@ -442,14 +440,14 @@
   until([this] { return server->counters().callersCut > 0; });
   CHECK(server->counters().bytesUntaken <= knobs.maximumUntakenBytes);
   LONGS_EQUAL(server->counters().callersCut, gone);
-  // A caller that reads is served beside them.
+  // A client that reads is still served.
   RawClient reader(context, server->listeningPort());
   reader.startReading();
   reader.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
   untilRequests(kCallers + 1);
   writers.back()->sendWhole({200, {}, "small"});
   until([&reader] { return reader.has("small"); });
-  // Those that are gone free what was held for them.
+  // Disconnecting clients releases their queued bytes.
   callers.clear();
   until([this] { return server->counters().bytesUntaken == 0; });
 }
--- a/tests/http/raw_client.h
+++ b/tests/http/raw_client.h
@@ -1,4 +1,4 @@
-/// \file Client socket whose bytes a test writes itself, on the test's I/O context.
+/// \file Test client that sends raw bytes.
 #pragma once
 
 #include <array>
@@ -8,7 +8,7 @@
 
 namespace gorsetrail::http {
 
-/// Connects at once and gathers what comes.
+/// Connects in the constructor and collects received bytes in `received`.
 class RawClient {
  public:
   RawClient(boost::asio::io_context& context, std::uint16_t port) : socket_(context) {
--- a/tests/http/scripted_server.h
+++ b/tests/http/scripted_server.h
@@ -1,4 +1,4 @@
-/// \file Loopback server whose answers a test writes byte for byte, on the test's I/O context.
+/// \file Loopback test server that sends raw bytes.
 #pragma once
 
 #include <array>
@@ -11,7 +11,8 @@
 
 namespace gorsetrail::http {
 
-/// Runs the context until `finished`, at most `kMaximumSteps` handlers.
+/// Runs handlers until `finished` returns true, at most `kMaximumSteps` of them.
+/// \return the last result of `finished`.
 inline bool runUntil(boost::asio::io_context& context, const std::function<bool()>& finished) {
   constexpr int kMaximumSteps = 20000;
   constexpr std::chrono::seconds kLongestStep{5};
@@ -24,7 +25,7 @@
   return finished();
 }
 
-/// One accepted connection; `received` grows as bytes come.
+/// One accepted connection; received bytes are appended to `received`.
 struct ScriptedConnection {
   explicit ScriptedConnection(boost::asio::ip::tcp::socket accepted)
       : socket(std::move(accepted)) {}
