--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -1,6 +1,6 @@
-/// \file Bytes between nodes: a length, then a verified FlatBuffers message.
+/// \file Framing and FlatBuffers encoding of messages between nodes.
 ///
-/// Frame: 4 bytes little-endian length of what follows (at most `kMaximumFrameBytes`), then the
+/// Frame: 4 bytes little-endian length of the rest (at most `kMaximumFrameBytes`), then the
 /// FlatBuffers buffer with file identifier "GTR1".
 #pragma once
 
@@ -16,41 +16,42 @@
 
 namespace gorsetrail::wire {
 
-/// Longest frame, in bytes, without its length prefix.
+/// Largest frame, without its length prefix.
 inline constexpr std::size_t kMaximumFrameBytes = std::size_t{4} * 1024 * 1024;
 inline constexpr std::size_t kLengthPrefixBytes = 4;
 
-/// A message with its sender, as it crosses between nodes.
+/// A message and the node that sent it.
 struct PeerFrame {
   NodeId sender;
   Incarnation senderIncarnation;
   PeerMessage message;
 };
 
-/// \return the whole frame, length prefix included.
+/// \return the encoded frame, including its length prefix.
 std::vector<std::uint8_t> encodeFrame(const PeerFrame& frame);
 
 /// Verifies and decodes the buffer of one frame (without its length prefix).
 /// Errors: `InvalidFrame`.
 Result<PeerFrame> decodeFrame(std::span<const std::uint8_t> buffer);
 
-/// Cuts a byte stream into frames.
+/// Splits a received byte stream into frames.
 class FrameReader {
  public:
-  /// Takes bytes as they come. Errors: `InvalidFrame` when a frame is too long; the connection
-  /// must then be closed.
+  /// Appends received bytes. Errors: `InvalidFrame` when a frame is empty or too long; the
+  /// connection must then be closed.
   Result<Success> feed(std::span<const std::uint8_t> bytes);
-  /// \return whether a whole frame is there; `frame` then holds its buffer (prefix removed).
+  /// Copies the next complete frame into `frame`, without its length prefix.
+  /// \return whether there was a complete frame.
   bool next(std::vector<std::uint8_t>& frame);
-  /// \return bytes of a frame that has not fully come.
+  /// \return the number of buffered bytes that `next` has not returned yet.
   [[nodiscard]] std::size_t pendingBytes() const { return buffered_.size() - consumed_; }
 
  private:
   void discardConsumed();
 
   std::vector<std::uint8_t> buffered_;
-  std::size_t consumed_ = 0;  ///< Bytes of frames already handed out.
-  std::size_t checked_ = 0;   ///< Start of the first frame whose length was not checked.
+  std::size_t consumed_ = 0;      ///< Bytes of frames that `next` has returned.
+  std::size_t validatedEnd_ = 0;  ///< Start of the first frame whose length is not validated.
 };
 
 }  // namespace gorsetrail::wire
--- a/src/wire/decoder.cpp
+++ b/src/wire/decoder.cpp
@@ -1,9 +1,8 @@
-/// \file Verified decoding of frames: bytes from a peer are never trusted.
+/// \file Decoding of frames from untrusted peers.
 ///
-/// Three guards stand one behind the other: the FlatBuffers verifier (every offset lies within the
-/// buffer, depth and number of tables bounded), the checks of enumerations and list lengths here,
-/// and a budget of text bytes. The budget guards against many tables that share one long text:
-/// the verifier allows it, and copying it out for each of them would exhaust the memory.
+/// Three checks: the FlatBuffers verifier (offsets, depth and number of tables), the range of
+/// enumerations and list lengths, and a limit on the total of copied text bytes. The verifier
+/// accepts many tables that share one long text, and copying it for each would exhaust the memory.
 #include <algorithm>
 #include <cstdint>
 #include <utility>
@@ -29,12 +28,11 @@
                    "else connects to the peers' port"};
 }
 
-/// Turns a verified buffer into messages. The first fault is kept; values made after it are not
-/// used by anybody.
+/// Decodes a verified buffer. After the first error the remaining values are decoded but discarded.
 class FrameDecoder {
  public:
   FrameDecoder(const fbs::Frame& frame, std::size_t bufferBytes)
-      : root_(frame), textBudget_(bufferBytes) {}
+      : root_(frame), remainingTextBytes_(bufferBytes) {}
 
   Result<PeerFrame> decode() {
     PeerFrame frame;
@@ -67,11 +65,11 @@
     if (text == nullptr) {
       return {};
     }
-    if (text->size() > textBudget_) {
+    if (text->size() > remainingTextBytes_) {
       fail("texts are longer than the frame that holds them");
       return {};
     }
-    textBudget_ -= text->size();
+    remainingTextBytes_ -= text->size();
     return text->str();
   }
 
@@ -91,7 +89,7 @@
   }
 
   template <class Vector>
-  bool fits(const Vector* list, std::size_t maximum) {
+  bool hasValidLength(const Vector* list, std::size_t maximum) {
     if (list == nullptr) {
       return false;
     }
@@ -143,7 +141,7 @@
     if (wire == nullptr) {
       return entries;
     }
-    // The verifier has bounded the number of tables, so the list is no longer than that.
+    // The length of the list is bounded because the verifier limits the number of tables.
     entries.reserve(wire->size());
     SequenceNumber expected(1);
     for (const fbs::Entry* entry : *wire) {
@@ -180,7 +178,7 @@
   program::GroupChanged decodeGroupChanged(const fbs::GroupChanged& wire) {
     program::GroupChanged verdict;
     verdict.current = program::GroupVersion(wire.current());
-    if (fits(wire.members(), kMaximumGroupMembers)) {
+    if (hasValidLength(wire.members(), kMaximumGroupMembers)) {
       for (const std::uint32_t member : *wire.members()) {
         verdict.members.emplace_back(member);
       }
@@ -251,7 +249,7 @@
     piggyback.senderIncarnation =
         Incarnation(wire.sender_incarnation().value_or(root_.incarnation()));
     piggyback.bundleInForce = BundleVersion(wire.bundle_in_force());
-    if (fits(wire.updates(), membership::kMaximumUpdates)) {
+    if (hasValidLength(wire.updates(), membership::kMaximumUpdates)) {
       for (const fbs::MemberUpdate* update : *wire.updates()) {
         piggyback.updates.push_back(
             {NodeId(update->node()), Incarnation(update->incarnation()),
@@ -259,7 +257,7 @@
              update->refutation()});
       }
     }
-    if (fits(wire.notices(), membership::kMaximumNotices)) {
+    if (hasValidLength(wire.notices(), membership::kMaximumNotices)) {
       for (const fbs::BackendNotice* notice : *wire.notices()) {
         piggyback.notices.push_back({notice->backend(), notice->leaving(), notice->version()});
       }
@@ -271,7 +269,7 @@
 
   engine::LoadDigest decodeLoadDigest(const fbs::LoadDigest& wire) {
     engine::LoadDigest digest;
-    if (fits(wire.replicas(), engine::kMaximumReplicas)) {
+    if (hasValidLength(wire.replicas(), engine::kMaximumReplicas)) {
       for (const fbs::ReplicaLoad* load : *wire.replicas()) {
         digest.replicas.push_back({load->backend(), load->running_streams(),
                                    load->queued_requests(), load->cache_used_per_mille(),
@@ -342,11 +340,11 @@
   }
 
   const fbs::Frame& root_;
-  std::size_t textBudget_;
+  std::size_t remainingTextBytes_;
   const char* fault_ = nullptr;
 };
 
-/// \return whether the buffer starts where FlatBuffers may read numbers in place.
+/// \return whether the buffer has the alignment that FlatBuffers needs to read numbers in place.
 bool isAligned(std::span<const std::uint8_t> buffer) {
   return reinterpret_cast<std::uintptr_t>(buffer.data()) % kBufferAlignment == 0;
 }
@@ -362,7 +360,7 @@
 }  // namespace
 
 Result<PeerFrame> decodeFrame(std::span<const std::uint8_t> buffer) {
-  // Shorter than root offset and file identifier: the verifier would read past the end.
+  // The verifier would read past the end of a buffer without root offset and file identifier.
   constexpr std::size_t kShortestBuffer = 8;
   if (buffer.size() < kShortestBuffer) {
     return invalidFrame("it is too short to be a frame");
--- a/src/wire/encoder.cpp
+++ b/src/wire/encoder.cpp
@@ -1,5 +1,5 @@
-/// \file Encoding of frames. Fields that repeat what the frame already says are left out: the
-/// control traffic of a node has a small budget (see bench/wire).
+/// \file Encoding of frames. Fields that the receiver can derive from the rest of the frame are
+/// omitted to limit control traffic (see bench/wire).
 #include <algorithm>
 #include <utility>
 
@@ -14,14 +14,14 @@
 
 constexpr std::size_t kInitialBufferBytes = 512;
 
-/// A union's type and value, as FlatBuffers stores them side by side.
+/// Type and value of a FlatBuffers union, which are stored as two fields.
 template <class Type>
 struct UnionValue {
   Type type = Type::NONE;
   Offset<void> value = 0;
 };
 
-/// Writes one frame into a builder. Children are created before the table that holds them.
+/// Encodes one frame. FlatBuffers requires children to be created before their parent table.
 class FrameEncoder {
  public:
   explicit FrameEncoder(const PeerFrame& frame) : frame_(frame), builder_(kInitialBufferBytes) {}
@@ -39,8 +39,8 @@
   using MessageValue = UnionValue<fbs::Message>;
   using EntryOffsets = Offset<flatbuffers::Vector<Offset<fbs::Entry>>>;
 
-  /// The builder's own length prefix would shift the alignment of the buffer behind it, which
-  /// receivers read without that prefix.
+  /// Adds the length prefix by hand, because the builder's own prefix would change the alignment of
+  /// the buffer, which receivers read without the prefix.
   std::vector<std::uint8_t> withLengthPrefix() {
     const std::size_t length = builder_.GetSize();
     std::vector<std::uint8_t> bytes(kLengthPrefixBytes + length);
--- a/src/wire/frame_reader.cpp
+++ b/src/wire/frame_reader.cpp
@@ -5,8 +5,8 @@
 namespace gorsetrail::wire {
 namespace {
 
-/// A reader that has nothing pending gives memory back when it holds more than this.
-constexpr std::size_t kKeptBytes = std::size_t{16} * 1024;
+/// An empty buffer with a larger capacity is released.
+constexpr std::size_t kMaximumIdleCapacityBytes = std::size_t{16} * 1024;
 
 std::size_t lengthAt(const std::vector<std::uint8_t>& bytes, std::size_t position) {
   std::size_t length = 0;
@@ -20,16 +20,16 @@
 
 Result<Success> FrameReader::feed(std::span<const std::uint8_t> bytes) {
   buffered_.insert(buffered_.end(), bytes.begin(), bytes.end());
-  // Every length is checked as soon as it is there, before anybody waits for that many bytes.
-  while (checked_ + kLengthPrefixBytes <= buffered_.size()) {
-    const std::size_t length = lengthAt(buffered_, checked_);
+  // Validates each length when its prefix arrives, before waiting for the rest of the frame.
+  while (validatedEnd_ + kLengthPrefixBytes <= buffered_.size()) {
+    const std::size_t length = lengthAt(buffered_, validatedEnd_);
     if (length == 0 || length > kMaximumFrameBytes) {
       return Error{.kind = ErrorKind::InvalidFrame,
                    .field = "length",
                    .reason = "a frame claims " + std::to_string(length) + " bytes",
                    .remedy = "check that nothing but gorsetraild connects to the peers' port"};
     }
-    checked_ += kLengthPrefixBytes + length;
+    validatedEnd_ += kLengthPrefixBytes + length;
   }
   return Success{};
 }
@@ -55,9 +55,9 @@
 
 void FrameReader::discardConsumed() {
   buffered_.erase(buffered_.begin(), buffered_.begin() + static_cast<std::ptrdiff_t>(consumed_));
-  checked_ -= consumed_;
+  validatedEnd_ -= consumed_;
   consumed_ = 0;
-  if (buffered_.empty() && buffered_.capacity() > kKeptBytes) {
+  if (buffered_.empty() && buffered_.capacity() > kMaximumIdleCapacityBytes) {
     buffered_.shrink_to_fit();
   }
 }
--- a/src/wire/peer_message.h
+++ b/src/wire/peer_message.h
@@ -1,4 +1,4 @@
-/// \file Everything that nodes say to each other, one alternative a subsystem.
+/// \file All messages between nodes, one variant alternative per subsystem.
 #pragma once
 
 #include <variant>
--- a/src/wire/send_queue.cpp
+++ b/src/wire/send_queue.cpp
@@ -25,11 +25,11 @@
   return "unknown";
 }
 
-bool SendQueue::isOverFull() const {
+bool SendQueue::exceedsLimits() const {
   return frames_.size() > 1 && (frames_.size() > limits_.frames || bytes_ > limits_.bytes);
 }
 
-std::deque<QueuedFrame>::iterator SendQueue::leastNeeded() {
+std::deque<QueuedFrame>::iterator SendQueue::nextToDrop() {
   for (const Subsystem subsystem : {Subsystem::Membership, Subsystem::Observation}) {
     const auto found = std::find_if(
         frames_.begin(), frames_.end(),
@@ -50,8 +50,8 @@
   bytes_ += frame.bytes.size();
   frames_.push_back(std::move(frame));
   DropCounts dropped{};
-  while (isOverFull()) {
-    const auto position = leastNeeded();
+  while (exceedsLimits()) {
+    const auto position = nextToDrop();
     ++dropped[static_cast<std::size_t>(position->subsystem)];
     erase(position);
   }
--- a/src/wire/send_queue.h
+++ b/src/wire/send_queue.h
@@ -1,4 +1,4 @@
-/// \file Frames that wait for a link to one peer, bounded, and which of them go when it is full.
+/// \file Bounded queue of frames to one peer, and its drop policy.
 #pragma once
 
 #include <array>
@@ -12,7 +12,7 @@
 
 namespace gorsetrail::wire {
 
-/// Alternatives of `PeerMessage`, in their order; indexes counters.
+/// Alternatives of `PeerMessage`, in the same order. Used as an index of counters.
 enum class Subsystem : std::uint8_t { Journal, Membership, Bundle, Observation };
 inline constexpr std::size_t kSubsystemCount = 4;
 
@@ -21,40 +21,43 @@
 /// \return `journal`, `membership`, `bundle` or `observation`.
 const char* subsystemName(Subsystem subsystem);
 
-/// An encoded frame that waits to be written.
+/// An encoded frame that has not been written yet.
 struct QueuedFrame {
   Subsystem subsystem = Subsystem::Journal;
   Instant queuedAt;
   std::vector<std::uint8_t> bytes;
 };
 
-/// Bounds of one queue. One frame always fits an empty queue, whatever its length.
+/// Limits of one queue. An empty queue accepts a frame of any length.
 struct SendQueueLimits {
   std::size_t frames = 256;
   std::size_t bytes = std::size_t{1024} * 1024;
 };
 
-/// First in, first out. When it is full the oldest membership frame goes first (the next probe
-/// says the same anew), then the oldest load digest, then the oldest frame of all.
+/// FIFO queue with a drop policy. A full queue drops the oldest membership frame first (the next
+/// probe repeats its content), then the oldest load digest, then the oldest frame of any kind.
 class SendQueue {
  public:
   using DropCounts = std::array<std::uint64_t, kSubsystemCount>;
 
   explicit SendQueue(SendQueueLimits limits) : limits_(limits) {}
 
-  /// Appends a frame and drops others until the limits hold. \return what was dropped.
+  /// Appends a frame and drops frames until the limits hold.
+  /// \return the number of dropped frames of each subsystem.
   DropCounts push(QueuedFrame frame);
-  /// Drops every frame that was queued before `oldest`. \return how many.
+  /// Drops all frames that were queued before `oldest`.
+  /// \return the number of dropped frames.
   std::size_t dropQueuedBefore(Instant oldest);
-  /// Takes frames from the front until one more would pass either bound; at least one.
+  /// Removes frames from the front until the next one would exceed a limit. Removes at least one
+  /// frame if the queue is not empty.
   std::vector<QueuedFrame> takeBatch(std::size_t maximumFrames, std::size_t maximumBytes);
   [[nodiscard]] bool empty() const { return frames_.empty(); }
   [[nodiscard]] std::size_t size() const { return frames_.size(); }
   [[nodiscard]] std::size_t bytes() const { return bytes_; }
 
  private:
-  [[nodiscard]] bool isOverFull() const;
-  [[nodiscard]] std::deque<QueuedFrame>::iterator leastNeeded();
+  [[nodiscard]] bool exceedsLimits() const;
+  [[nodiscard]] std::deque<QueuedFrame>::iterator nextToDrop();
   void erase(const std::deque<QueuedFrame>::iterator& position);
 
   SendQueueLimits limits_;
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -18,7 +18,8 @@
   return std::span(bytes).subspan(wire::kLengthPrefixBytes);
 }
 
-/// Decodes; must end in a frame or in `InvalidFrame`, nothing else. \return whether in a frame.
+/// Decodes, and checks that any error is `InvalidFrame`.
+/// \return whether a frame was decoded.
 bool decodesOrRefuses(std::span<const std::uint8_t> buffer) {
   const Result<wire::PeerFrame> result = wire::decodeFrame(buffer);
   if (succeeded(result)) {
@@ -35,7 +36,7 @@
   CHECK(errorOf(result).kind == ErrorKind::InvalidFrame);
 }
 
-/// Encodes `message`, which breaks a bound of the protocol, and expects it refused.
+/// Checks that the encoded `message`, which violates a protocol limit, is rejected.
 void refusesMessage(wire::PeerMessage message) {
   refuses(bufferOf(wire::encodeFrame({NodeId(1), Incarnation(1), std::move(message)})));
 }
@@ -44,7 +45,7 @@
 
 TEST_GROUP(Codec){};
 
-TEST(Codec, EveryAlternativeComesBackAsItWas) {
+TEST(Codec, EveryMessageKindRoundTrips) {
   for (std::uint64_t alternative = 0; alternative < FrameGenerator::kAlternatives; ++alternative) {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
       const wire::PeerFrame frame = FrameGenerator(seed).frame(alternative);
@@ -56,7 +57,7 @@
   }
 }
 
-TEST(Codec, PrefixCountsTheBytesBehindIt) {
+TEST(Codec, PrefixHoldsTheLengthOfTheRest) {
   const std::vector<std::uint8_t> bytes = wire::encodeFrame(FrameGenerator(1).anyFrame());
   const std::size_t length = bytes[0] | bytes[1] << 8 | bytes[2] << 16 | bytes[3] << 24;
   LONGS_EQUAL(bytes.size() - wire::kLengthPrefixBytes, length);
@@ -89,12 +90,12 @@
   CHECK(refused > 0);
 }
 
-TEST(Codec, EveryTruncationIsRefusedOrHarmless) {
+TEST(Codec, TruncatedFramesAreRefusedOrDecodeSafely) {
   for (std::uint64_t alternative = 0; alternative < FrameGenerator::kAlternatives; ++alternative) {
     const std::vector<std::uint8_t> bytes = wire::encodeFrame(FrameGenerator(7).frame(alternative));
     const auto whole = bufferOf(bytes);
     for (std::size_t length = 0; length < whole.size(); ++length) {
-      // A copy of just that length, so that a sanitizer sees any read past the end.
+      // A copy of exactly this length, so that a sanitizer detects reads past the end.
       const std::vector<std::uint8_t> cut(whole.begin(),
                                           whole.begin() + static_cast<std::ptrdiff_t>(length));
       decodesOrRefuses(cut);
@@ -111,7 +112,7 @@
   }));
 }
 
-TEST(Codec, RandomBytesBehindTheIdentifierNeverCrash) {
+TEST(Codec, RandomBytesAfterTheIdentifierNeverCrash) {
   CHECK(holds([](std::uint64_t seed) {
     FrameGenerator generator(seed);
     const std::string tail = generator.text(200);
@@ -157,7 +158,7 @@
   refusesMessage(program::JournalMessage(reply));
 }
 
-TEST(Codec, UnknownKindsOfUnionsAreRefused) {
+TEST(Codec, UnknownUnionTypesAreRefused) {
   flatbuffers::FlatBufferBuilder builder;
   const auto notice = wire::fbs::CreateBundleFetchRequest(builder, 1);
   builder.Finish(
@@ -193,7 +194,7 @@
   builder.Finish(
       wire::fbs::CreateFrame(builder, 1, wire::fbs::Message::AppendRequest, request.Union(), 1),
       wire::fbs::FrameIdentifier());
-  // Decoded without a budget this frame of 120 kB would take 500 MB.
+  // Without the limit on text bytes, decoding this 120 kB frame would allocate 500 MB.
   refuses({builder.GetBufferPointer(), builder.GetSize()});
 }
 
--- a/tests/wire/corpus_test.cpp
+++ b/tests/wire/corpus_test.cpp
@@ -21,9 +21,9 @@
 
 TEST_GROUP(Corpus){};
 
-/// Frames kept from fuzzing: `valid-*` must decode (the format stays compatible), `refused-*` must
-/// end in `InvalidFrame`.
-TEST(Corpus, EveryKeptFrameEndsAsItsNameSays) {
+/// Fuzzing regressions: `valid-*` must decode, so that the format stays compatible; `refused-*`
+/// must fail with `InvalidFrame`.
+TEST(Corpus, EveryFrameDecodesOrFailsAsNamed) {
   std::size_t frames = 0;
   for (const auto& entry : std::filesystem::directory_iterator("tests/wire/corpus")) {
     const std::string name = entry.path().filename().string();
--- a/tests/wire/frame_generators.h
+++ b/tests/wire/frame_generators.h
@@ -1,4 +1,4 @@
-/// \file Random frames of every alternative, drawn from a seeded source.
+/// \file Seeded random generator of frames of all message kinds.
 #pragma once
 
 #include <string>
@@ -9,12 +9,12 @@
 
 namespace gorsetrail::wire::testing {
 
-/// Draws frames; the same seed draws the same frames.
+/// Generates frames; the same seed gives the same frames.
 class FrameGenerator {
  public:
   explicit FrameGenerator(std::uint64_t seed) : random_(seed) {}
 
-  /// Number of message alternatives over all subsystems (verdicts and entry kinds are drawn).
+  /// Number of message alternatives over all subsystems (verdicts and entry kinds are random).
   static constexpr std::uint64_t kAlternatives = 11;
 
   PeerFrame frame(std::uint64_t alternative) {
@@ -32,7 +32,7 @@
   }
 
  private:
-  // Zero often: absent fields must come back as zero.
+  // Often zero, because absent fields must decode as zero.
   std::uint32_t number32() { return static_cast<std::uint32_t>(number64()); }
   std::uint64_t number64() {
     const std::uint64_t kind = random_.below(4);
--- a/tests/wire/frame_reader_test.cpp
+++ b/tests/wire/frame_reader_test.cpp
@@ -11,7 +11,7 @@
 
 TEST_GROUP(FrameReader){};
 
-TEST(FrameReader, CutsAnyStreamAnywhere) {
+TEST(FrameReader, SplitsAStreamReceivedInArbitraryPieces) {
   CHECK(holds([](std::uint64_t seed) {
     FrameGenerator generator(seed);
     std::vector<std::uint8_t> stream;
@@ -29,7 +29,7 @@
           std::min<std::size_t>(1 + generator.random().below(300), stream.size() - place);
       RC_ASSERT(succeeded(reader.feed(std::span(stream).subspan(place, part))));
       place += part;
-      // Not always: frames may pile up between two feeds.
+      // Only sometimes, so that several frames are buffered between two feeds.
       while (generator.random().below(4) != 0 && reader.next(frame)) {
         got.push_back(frame);
       }
@@ -42,7 +42,7 @@
   }));
 }
 
-TEST(FrameReader, RefusesATooLongFrameBeforeItsBytesCome) {
+TEST(FrameReader, RefusesATooLongFrameBeforeItsBytesArrive) {
   wire::FrameReader reader;
   const std::uint32_t length = wire::kMaximumFrameBytes + 1;
   std::vector<std::uint8_t> prefix(wire::kLengthPrefixBytes);
@@ -54,7 +54,7 @@
   CHECK(errorOf(result).kind == ErrorKind::InvalidFrame);
 }
 
-TEST(FrameReader, RefusesATooLongFrameBehindAGoodOne) {
+TEST(FrameReader, RefusesATooLongFrameAfterAValidOne) {
   std::vector<std::uint8_t> stream = wire::encodeFrame(FrameGenerator(2).anyFrame());
   stream.insert(stream.end(), {0xFF, 0xFF, 0xFF, 0xFF});
   wire::FrameReader reader;
@@ -66,7 +66,7 @@
   CHECK_FALSE(succeeded(reader.feed(std::vector<std::uint8_t>(4))));
 }
 
-TEST(FrameReader, TakesTheLongestFrame) {
+TEST(FrameReader, AcceptsTheLongestFrame) {
   std::vector<std::uint8_t> stream{0, 0, 0x40, 0};
   stream.resize(wire::kLengthPrefixBytes + wire::kMaximumFrameBytes);
   wire::FrameReader reader;
--- a/tests/wire/frame_text.h
+++ b/tests/wire/frame_text.h
@@ -1,4 +1,4 @@
-/// \file Frames as text, so that two of them can be compared field by field in a failure's report.
+/// \file Text form of frames, so that a failed comparison shows the differing fields.
 #pragma once
 
 #include <sstream>
@@ -9,7 +9,7 @@
 
 namespace gorsetrail::wire::testing {
 
-/// Writes every field of a frame in its order.
+/// Writes all fields of a frame in a fixed order.
 class FrameText {
  public:
   static std::string of(const PeerFrame& frame) {
--- a/tests/wire/send_queue_test.cpp
+++ b/tests/wire/send_queue_test.cpp
@@ -34,7 +34,7 @@
   LONGS_EQUAL(0, queue.bytes());
 }
 
-TEST(SendQueue, BoundsBytesButTakesOneLongFrame) {
+TEST(SendQueue, LimitsBytesButAcceptsOneLongFrame) {
   SendQueue queue({.frames = 100, .bytes = 50});
   queue.push(frame(Subsystem::Journal, 40));
   const auto dropped = queue.push(frame(Subsystem::Journal, 400));
@@ -43,7 +43,7 @@
   LONGS_EQUAL(400, queue.bytes());
 }
 
-TEST(SendQueue, ForgetsWhatIsTooOld) {
+TEST(SendQueue, DropsFramesQueuedBeforeAGivenTime) {
   SendQueue queue({});
   queue.push(frame(Subsystem::Journal, 1, 1));
   queue.push(frame(Subsystem::Journal, 2, 2));
