--- a/tests/http/http_client_test.cpp
+++ b/tests/http/http_client_test.cpp
@@ -324,7 +324,7 @@
   LONGS_EQUAL(0, ending.endings);
 }
 
-TEST(HttpClient, ReachabilityCheckCountsARefusalAsReachableButNotATimeout) {
+TEST(HttpClient, ReachabilityCheckAcceptsARefusalButNotAnInvalidAddress) {
   boost::asio::io_context context;
   const HttpClientPtr client = makeHttpClient(context);
   ScriptedServer server(context, [](ScriptedConnection&) {});
