--- a/src/cli/bundle_diff.cpp
+++ b/src/cli/bundle_diff.cpp
@@ -82,7 +82,7 @@
   return std::move(differ.changes);
 }
 
-std::string describeChange(const BundleChange& change) {
+std::string formatChange(const BundleChange& change) {
   if (change.before.empty()) {
     return "+ " + change.path + ": " + change.after;
   }
--- a/src/cli/bundle_files.cpp
+++ b/src/cli/bundle_files.cpp
@@ -60,12 +60,12 @@
   return std::move(*errors);
 }
 
-OrderedJson orderedJsonOf(const std::string& bundleJson) {
+OrderedJson parseOrderedJson(const std::string& bundleJson) {
   return OrderedJson::parse(bundleJson, nullptr, false);
 }
 
-OrderedJson nextVersionOf(const std::string& bundleJson) {
-  OrderedJson next = orderedJsonOf(bundleJson);
+OrderedJson makeNextVersion(const std::string& bundleJson) {
+  OrderedJson next = parseOrderedJson(bundleJson);
   const auto version = next["version"].get<std::uint64_t>();
   next["version"] = version + 1;
   next["base"] = version;
@@ -82,7 +82,7 @@
   SiteTrust trust;
   trust.site = textAt(document, "site");
   if (trust.site.empty()) {
-    return unusableSettings(path, "`site` is missing or no text");
+    return unusableSettings(path, "`site` is missing or not a string");
   }
   if (!document.contains("trust") || !document["trust"].is_array() || document["trust"].empty()) {
     return unusableSettings(path, "`trust` is missing or empty");
--- a/src/cli/bundle_files.h
+++ b/src/cli/bundle_files.h
@@ -1,4 +1,4 @@
-/// \file Bundles, envelopes and settings as files.
+/// \file Reads and checks bundle, envelope and settings files.
 #pragma once
 
 #include <string>
@@ -11,34 +11,36 @@
 
 namespace gorsetrail::cli {
 
-/// A file that holds a bundle, signed or not.
+/// Content of a bundle file or of a signed envelope file.
 struct BundleFile {
   bundle::SignedBundle content;  ///< Without signatures when the file is a plain bundle.
   bool isEnvelope = false;
   std::string bytes;  ///< The whole file.
 };
 
-/// \return the file, not yet checked as a bundle, or `InvalidField` / `InvalidBundle`.
+/// Loads a file without validating its bundle; call `checkBundleText` for that.
+/// \return `InvalidField` when the file is unreadable, `InvalidBundle` for a malformed envelope.
 Result<BundleFile> loadBundleFile(const std::string& path);
 
-/// \return every error of a bundle's text, each with the file's name in front of its path; empty
-/// when it is right.
+/// \return all validation errors, each field prefixed with the file's path; empty when the bundle
+/// is valid.
 std::vector<Error> checkBundleText(const std::string& path, const std::string& bundleJson);
 
-/// \return a bundle's JSON with its keys in the file's order; only for texts that were checked.
-OrderedJson orderedJsonOf(const std::string& bundleJson);
+/// \return the parsed bundle with its keys in file order; `bundleJson` must have been validated.
+OrderedJson parseOrderedJson(const std::string& bundleJson);
 
-/// Turns a checked bundle into its successor: version, base and base_digest; all else stays.
-OrderedJson nextVersionOf(const std::string& bundleJson);
+/// \return a copy of a validated bundle with `version`, `base` and `base_digest` set for the next
+/// version.
+OrderedJson makeNextVersion(const std::string& bundleJson);
 
-/// What a node must know before its first bundle.
+/// Site name and trust anchors that validate the first bundle.
 struct SiteTrust {
   std::string site;
   std::vector<bundle::Operator> operators;
 };
 
-/// Reads `site` and `trust` from a JSON file; other keys are passed over, so that a node's settings
-/// file will do.
+/// Reads `site` and `trust` from a JSON file; other keys are ignored, so that a node's settings
+/// file can be used.
 Result<SiteTrust> loadSiteTrust(const std::string& path);
 
 }  // namespace gorsetrail::cli
--- a/src/cli/bundle_history.cpp
+++ b/src/cli/bundle_history.cpp
@@ -10,8 +10,8 @@
 namespace gorsetrail::cli {
 namespace {
 
-/// Versions kept whole, so that a loser can be shown what changed since its base.
-constexpr std::size_t kKeptVersions = 64;
+/// Accepted bundles retained, so that a conflict can be reported with the changes since its base.
+constexpr std::size_t kMaximumRecentVersions = 64;
 
 HistoryEntry describe(const BundleRecord& record) {
   HistoryEntry entry;
@@ -41,7 +41,7 @@
   const Result<BundleVersion> result = holder_.offerFromLog(record.envelope);
   if (succeeded(result)) {
     recent_.push_back(holder_.logHead());
-    if (recent_.size() > kKeptVersions) {
+    if (recent_.size() > kMaximumRecentVersions) {
       recent_.pop_front();
     }
   } else {
@@ -78,7 +78,7 @@
   return found == recent_.end() ? nullptr : *found;
 }
 
-Result<BundleVersion> BundleHistory::tryNext(const std::string& envelope) const {
+Result<BundleVersion> BundleHistory::validateNext(const std::string& envelope) const {
   bundle::BundleHolder trial = holder_;
   return trial.offerFromLog(envelope);
 }
--- a/src/cli/bundle_history.h
+++ b/src/cli/bundle_history.h
@@ -1,4 +1,4 @@
-/// \file What became of every record of the bundle stream, decided as the nodes decide it.
+/// \file Replays the bundle stream with the same acceptance rules as the nodes.
 #pragma once
 
 #include <cstddef>
@@ -13,17 +13,17 @@
 
 namespace gorsetrail::cli {
 
-/// A record and its fate.
+/// A record of the bundle stream and whether it was accepted.
 struct HistoryEntry {
   LogOffset offset;
-  BundleVersion version;  ///< 0 when the record is no readable bundle.
+  BundleVersion version;  ///< 0 when the record cannot be decoded as a bundle.
   BundleVersion base;
-  std::vector<std::string> signers;  ///< Names that the envelope gives; checked when it won.
+  std::vector<std::string> signers;  ///< Names from the envelope; verified only when accepted.
   std::string digest;                ///< `bundleDigest` of the whole envelope.
-  std::optional<Error> refusal;      ///< Empty when the record won its place.
+  std::optional<Error> refusal;      ///< Empty when the record was accepted.
 };
 
-/// Replays the stream through `BundleHolder`.
+/// Replays the bundle stream through `BundleHolder` and keeps the outcome of each record.
 class BundleHistory {
  public:
   BundleHistory(std::string site, std::vector<bundle::Operator> trustAnchors);
@@ -35,14 +35,14 @@
   [[nodiscard]] std::shared_ptr<const bundle::AcceptedBundle> newest() const {
     return holder_.logHead();
   }
-  /// \return the record that won the place after `base`, or null.
+  /// \return the accepted record whose base version is `base`, or null.
   [[nodiscard]] const HistoryEntry* winnerAfter(BundleVersion base) const;
-  /// \return the record with exactly these bytes: the winning one, else the last; or null.
+  /// \return the record with exactly these bytes: the accepted one, else the last; or null.
   [[nodiscard]] const HistoryEntry* find(const std::string& envelope) const;
-  /// \return the winning bundle of a version if it is among the last ones kept, or null.
+  /// \return the accepted bundle of a version if it is still retained, or null.
   [[nodiscard]] std::shared_ptr<const bundle::AcceptedBundle> recent(BundleVersion version) const;
-  /// \return what the nodes would say if this record were the next.
-  [[nodiscard]] Result<BundleVersion> tryNext(const std::string& envelope) const;
+  /// \return what the nodes would decide if this record were appended next.
+  [[nodiscard]] Result<BundleVersion> validateNext(const std::string& envelope) const;
 
  private:
   bundle::BundleHolder holder_;
--- a/src/cli/bundle_log.cpp
+++ b/src/cli/bundle_log.cpp
@@ -14,7 +14,7 @@
 constexpr unsigned kHttpOk = 200;
 constexpr unsigned kHttpCreated = 201;
 constexpr std::uint32_t kRecordsPerPage = 64;
-/// Keeps a log that never says its end from holding the command for ever.
+/// Bounds the read of a log that never returns an empty page.
 constexpr std::uint32_t kMaximumPages = 100000;
 constexpr const char* kRecordsTarget = "/v1/streams/bundle/records";
 
@@ -69,24 +69,24 @@
   const json page = json::parse(valueOf(response).body, nullptr, false);
   const std::optional<std::uint64_t> next = numberAt(page, "next");
   if (!next || !page.contains("records") || !page["records"].is_array()) {
-    return unusableAnswer("the log's answer is no page of records");
+    return unusableAnswer("the log's response is not a page of records");
   }
   std::vector<BundleRecord> records;
   for (const json& element : page["records"]) {
     std::optional<BundleRecord> record = readRecord(element);
     if (!record) {
-      return unusableAnswer("the log's answer has an unreadable record");
+      return unusableAnswer("the log's response has a malformed record");
     }
     records.push_back(std::move(*record));
   }
   if (*next < next_.value() || (!records.empty() && *next == next_.value())) {
-    return unusableAnswer("the log's pages do not go on");
+    return unusableAnswer("the log's `next` offset does not advance");
   }
   next_ = LogOffset(*next);
   return records;
 }
 
-Result<std::vector<BundleRecord>> BundleLog::readOn() {
+Result<std::vector<BundleRecord>> BundleLog::readNewRecords() {
   std::vector<BundleRecord> all;
   for (std::uint32_t page = 0; page < kMaximumPages; ++page) {
     Result<std::vector<BundleRecord>> records = readPage();
@@ -100,7 +100,7 @@
       all.push_back(std::move(record));
     }
   }
-  return unusableAnswer("the log has no end");
+  return unusableAnswer("the log returned too many pages without reaching its end");
 }
 
 Result<LogOffset> BundleLog::append(const std::string& envelope) {
@@ -118,7 +118,7 @@
   const std::optional<std::uint64_t> offset =
       numberAt(json::parse(valueOf(response).body, nullptr, false), "offset");
   if (!offset) {
-    return unusableAnswer("the log's answer names no offset");
+    return unusableAnswer("the log's response to the append has no offset");
   }
   return LogOffset(*offset);
 }
--- a/src/cli/bundle_log.h
+++ b/src/cli/bundle_log.h
@@ -1,4 +1,4 @@
-/// \file The stream of the platform's log that carries bundles, as the operators' command uses it.
+/// \file HTTP client for the bundle stream of the platform's log.
 #pragma once
 
 #include <string>
@@ -11,23 +11,24 @@
 
 namespace gorsetrail::cli {
 
-/// A record as it stands in the log.
+/// A record of the bundle stream.
 struct BundleRecord {
   LogOffset offset;
   std::string envelope;
 };
 
-/// Reads and appends envelopes. No call is repeated here: an append whose answer is lost may have
-/// taken effect.
+/// Reads and appends envelopes. Calls are not retried, because an append whose response is lost may
+/// have taken effect.
 class BundleLog {
  public:
   BundleLog(HttpExchange& http, std::string address, Duration timeLimit)
       : http_(http), address_(std::move(address)), timeLimit_(timeLimit) {}
 
-  /// \return the records that were not read before, in log order, or `PlatformUnavailable`.
-  Result<std::vector<BundleRecord>> readOn();
+  /// \return the records after the last one read, in log order, or `PlatformUnavailable`.
+  Result<std::vector<BundleRecord>> readNewRecords();
 
-  /// \return the offset the log names, or `PlatformUnavailable`: the record may stand all the same.
+  /// \return the offset of the record, or `PlatformUnavailable`; the record may be appended even
+  /// then.
   Result<LogOffset> append(const std::string& envelope);
 
  private:
--- a/src/cli/command.cpp
+++ b/src/cli/command.cpp
@@ -18,8 +18,8 @@
   return "";
 }
 
-/// The request's id and the log files of a large fleet.
-constexpr std::size_t kMostLogFiles = 1000;
+/// Upper bound on arguments of `explain` and `losses`: log files, and the request's id.
+constexpr std::size_t kMaximumLogArguments = 1000;
 
 const std::vector<std::string> kLogFlags = {"log", "settings", "timeout_s"};
 
@@ -102,11 +102,11 @@
        runPrograms},
       {"explain",
        "REQUEST [FILE...]",
-       "Tell the story of one request from nodes' logs",
+       "Show the log lines of one request in time order",
        "gorsetrail explain 4b3c9fe146b94859 edge-a-1.log edge-a-2.log",
        {},
        1,
-       kMostLogFiles,
+       kMaximumLogArguments,
        runExplain},
       {"losses",
        "[FILE...]",
@@ -114,7 +114,7 @@
        "gorsetrail losses edge-a-1.log edge-a-2.log",
        {"by_second"},
        0,
-       kMostLogFiles,
+       kMaximumLogArguments,
        runLosses},
       {"completion",
        "SHELL",
--- a/src/cli/command.h
+++ b/src/cli/command.h
@@ -1,4 +1,4 @@
-/// \file What every command gets, and the list of commands.
+/// \file Command table and the context passed to each command.
 #pragma once
 
 #include <ostream>
@@ -12,9 +12,9 @@
 
 namespace gorsetrail::cli {
 
-/// Surroundings of one run of a command.
+/// Arguments, options and I/O of one command invocation.
 struct CommandContext {
-  std::vector<std::string> arguments;  ///< Words after the command's own.
+  std::vector<std::string> arguments;  ///< Positional arguments after the command words.
   Options options;
   HttpExchange& http;
   Pause pause;
@@ -22,13 +22,13 @@
   std::ostream& err;
 };
 
-/// A command of `gorsetrail`.
+/// Description and entry point of one `gorsetrail` command.
 struct Command {
   std::string words;      ///< Such as `bundle sign`.
   std::string arguments;  ///< Such as `FILE`.
   std::string summary;
   std::string example;
-  std::vector<std::string> flags;  ///< Flags that it reads; all others are refused.
+  std::vector<std::string> flags;  ///< Flags that it accepts; all others are rejected.
   std::size_t minimumArguments = 0;
   std::size_t maximumArguments = 0;
   ExitCode (*run)(CommandContext& context) = nullptr;
@@ -37,7 +37,8 @@
 /// \return all commands, in the order of the help.
 const std::vector<Command>& commands();
 
-/// Prints the errors to the error output. \return the exit code of the first.
+/// Prints the errors to the error output.
+/// \return the exit code of the first error.
 ExitCode fail(CommandContext& context, const std::vector<Error>& errors);
 ExitCode fail(CommandContext& context, const Error& error);
 
--- a/src/cli/drain_command.cpp
+++ b/src/cli/drain_command.cpp
@@ -1,4 +1,4 @@
-/// `drain`: the next version with one back end leaving, made again when another operator was first.
+/// `drain`: publishes a version with one back end leaving; retried on a version conflict.
 #include "cli/bundle_files.h"
 #include "cli/command.h"
 #include "cli/files.h"
@@ -9,7 +9,7 @@
 namespace gorsetrail::cli {
 namespace {
 
-/// Each lost race means that another version won, so a few attempts are enough.
+/// Each conflict means that another version was accepted, so a few attempts suffice.
 constexpr int kMaximumAttempts = 8;
 
 Error unknownBackend(const std::string& name, BundleVersion version) {
@@ -19,9 +19,10 @@
 }
 
 /// \return the signed next version, or `InvalidBundle` when work would be left without a back end.
-Result<bundle::SignedBundle> makeDrain(const bundle::AcceptedBundle& newest,
-                                       const CommandContext& context, const std::string& pem) {
-  OrderedJson next = nextVersionOf(bundleTextOf(newest));
+Result<bundle::SignedBundle> makeDrainBundle(const bundle::AcceptedBundle& newest,
+                                             const CommandContext& context,
+                                             const std::string& pem) {
+  OrderedJson next = makeNextVersion(bundleJsonOf(newest));
   for (OrderedJson& backend : next["back_ends"]) {
     if (backend["name"] == context.arguments.front()) {
       backend["leaving"] = true;
@@ -46,9 +47,9 @@
   return ExitCode::Done;
 }
 
-/// One operator cannot publish alone: leaves the envelope for the others.
-ExitCode leaveForOthers(CommandContext& context, const bundle::SignedBundle& signedBundle,
-                        std::uint32_t needed) {
+/// Writes the envelope to a file, because more operators must sign it before publication.
+ExitCode saveForFurtherSignatures(CommandContext& context, const bundle::SignedBundle& signedBundle,
+                                  std::uint32_t needed) {
   const std::string path = context.options.out.empty()
                                ? "drain-" + context.arguments.front() + ".envelope"
                                : context.options.out;
@@ -81,27 +82,27 @@
       return reportDrained(context, attempt == 0 ? "leaving already" : "another operator did it",
                            newest->bundle.version);
     }
-    const Result<bundle::SignedBundle> next = makeDrain(*newest, context, pem);
+    const Result<bundle::SignedBundle> next = makeDrainBundle(*newest, context, pem);
     if (!succeeded(next)) {
       return fail(context, errorOf(next));
     }
     if (newest->bundle.signaturesNeeded > 1) {
-      return leaveForOthers(context, valueOf(next), newest->bundle.signaturesNeeded);
+      return saveForFurtherSignatures(context, valueOf(next), newest->bundle.signaturesNeeded);
     }
     const Result<Publication> result =
         session.publisher().publish(bundle::encodeEnvelope(valueOf(next)));
     if (succeeded(result)) {
       return reportDrained(context, "published", valueOf(result).version);
     }
-    // Losing a race is no reason to stop: the wish is small and holds on top of any winner.
+    // A conflict is retried, because the drain applies to any newer version as well.
     if (errorOf(result).kind != ErrorKind::BundleConflict) {
       return fail(context, errorOf(result));
     }
   }
-  return fail(context,
-              Error{ErrorKind::BundleConflict, name,
-                    "other operators were first " + std::to_string(kMaximumAttempts) + " times",
-                    "try again"});
+  return fail(context, Error{ErrorKind::BundleConflict, name,
+                             "other operators published first " + std::to_string(kMaximumAttempts) +
+                                 " times",
+                             "try again"});
 }
 
 }  // namespace
--- a/src/cli/exit_code.h
+++ b/src/cli/exit_code.h
@@ -10,9 +10,9 @@
 enum class ExitCode : std::uint8_t {
   Done = 0,
   Refused = 1,              ///< Refused or failed.
-  BadInput = 2,             ///< Wrong usage, or a file that is not right.
-  PlatformUnavailable = 3,  ///< Log or nodes did not answer; what was asked may still happen.
-  Conflict = 4,             ///< Another operator's version won.
+  BadInput = 2,             ///< Wrong usage, or an invalid file.
+  PlatformUnavailable = 3,  ///< Log or nodes unavailable; a sent request may still take effect.
+  Conflict = 4,             ///< Another operator's version was accepted first.
 };
 
 /// \return the exit code that an error leads to.
--- a/src/cli/explain_command.cpp
+++ b/src/cli/explain_command.cpp
@@ -1,4 +1,4 @@
-// `explain`: the story of one request over the logs of all nodes.
+// `explain`: the log lines of one request from all nodes, in time order.
 #include <fstream>
 #include <iostream>
 
@@ -21,7 +21,7 @@
     text += "=";
     text += value;
   }
-  if (const std::string_view meaning = refusalMeaning(line); !meaning.empty()) {
+  if (const std::string_view meaning = classifyRefusal(line); !meaning.empty()) {
     text += " means=";
     text += meaning;
   }
@@ -36,7 +36,7 @@
 Error notFound(const std::string& request, const LogStory& story) {
   return Error{ErrorKind::ProgramNotFound, request,
                "no line names this request (" + std::to_string(story.passedOver()) +
-                   " lines were no log lines)",
+                   " lines were not log lines)",
                "give the logs of all nodes of that time; answered requests beyond the logged rate "
                "are only counted (event=lines_left_out), refusals of a burst by program "
                "(event=refusals_counted)"};
--- a/src/cli/file_commands.cpp
+++ b/src/cli/file_commands.cpp
@@ -1,4 +1,4 @@
-/// Commands that need no network: keygen, bundle check, sign and completion's data.
+/// Commands that need no network: keygen, bundle check and bundle sign.
 #include "bundle/bundle_digest.h"
 #include "bundle/ed25519.h"
 #include "cli/bundle_files.h"
@@ -20,7 +20,7 @@
   return stem + ".envelope";
 }
 
-/// An envelope gets its further signatures in place; any other file is overwritten only by --force.
+/// Signatures are added to an envelope in place; any other file is overwritten only by --force.
 Existing existingRule(const CommandContext& context, const std::string& target,
                       const BundleFile& file) {
   const bool isItself = file.isEnvelope && target == context.arguments.front();
@@ -62,7 +62,7 @@
   if (!errors.empty()) {
     return fail(context, errors);
   }
-  const OrderedJson document = orderedJsonOf(text);
+  const OrderedJson document = parseOrderedJson(text);
   printObject(context.out, context.options.format,
               {{"file", path},
                {"check", "passed"},
--- a/src/cli/files.cpp
+++ b/src/cli/files.cpp
@@ -37,7 +37,7 @@
   return true;
 }
 
-/// Fails when the file exists, so that two commands never write into one.
+/// Fails when the file exists, so that two commands never write to the same file.
 Result<Success> writeNewFile(const std::string& path, const std::string& bytes, mode_t mode) {
   const int file = ::open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, mode);
   if (file < 0) {
@@ -57,12 +57,13 @@
 }  // namespace
 
 Result<std::string> readFile(const std::string& path) {
-  struct stat facts {};
-  if (::stat(path.c_str(), &facts) != 0) {
+  struct stat fileStatus {};
+  if (::stat(path.c_str(), &fileStatus) != 0) {
     return systemError(path);
   }
-  if (!S_ISREG(facts.st_mode) || static_cast<std::uintmax_t>(facts.st_size) > kMaximumFileBytes) {
-    return fileError(path, "this is no file of at most 8 MiB", "name another file");
+  if (!S_ISREG(fileStatus.st_mode) ||
+      static_cast<std::uintmax_t>(fileStatus.st_size) > kMaximumFileBytes) {
+    return fileError(path, "this is not a regular file of at most 8 MiB", "name another file");
   }
   std::ifstream file(path, std::ios::binary);
   std::stringstream bytes;
--- a/src/cli/files.h
+++ b/src/cli/files.h
@@ -1,4 +1,4 @@
-/// \file Small files of the operators: bundles, envelopes, keys.
+/// \file Reads and writes bundle, envelope and key files.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +8,17 @@
 
 namespace gorsetrail::cli {
 
-/// Who may read a file that is written.
+/// Read permission of a written file.
 enum class FileAccess : std::uint8_t { Everybody, OwnerOnly };
 
-/// What to do when the file exists.
+/// Behaviour when the file already exists.
 enum class Existing : std::uint8_t { Keep, Replace };
 
 /// \return the file's bytes, or `InvalidField` (missing, unreadable or longer than 8 MiB).
 Result<std::string> readFile(const std::string& path);
 
-/// Writes the whole file or leaves what was there: a new file takes its place in one step.
-/// \return `InvalidField` when it exists and is to be kept, or cannot be written.
+/// Writes the file. Replacing is atomic: a temporary file is renamed over the old one.
+/// \return `InvalidField` when the file exists and `existing` is `Keep`, or when writing fails.
 Result<Success> writeFile(const std::string& path, const std::string& bytes, FileAccess access,
                           Existing existing);
 
--- a/src/cli/http_exchange.h
+++ b/src/cli/http_exchange.h
@@ -1,4 +1,4 @@
-/// \file One HTTP request and its answer, injected so that tests need no sockets.
+/// \file HTTP client interface, injected so that tests need no sockets.
 #pragma once
 
 #include "base/result.h"
@@ -6,16 +6,16 @@
 
 namespace gorsetrail::cli {
 
-/// Sends requests and waits for their answers.
+/// Sends an HTTP request and waits for the response.
 class HttpExchange {
  public:
   virtual ~HttpExchange() = default;
-  /// \return the answer of any status, or `PlatformUnavailable` when none came; the request may
-  /// then have taken effect all the same.
+  /// \return the response, whatever its status, or `PlatformUnavailable` when none arrived; the
+  /// request may have taken effect even then.
   virtual Result<http::Response> send(const http::Request& request) = 0;
 };
 
-/// Over TCP, one connection a request.
+/// Sends each request over a new TCP connection.
 class NetworkExchange : public HttpExchange {
  public:
   Result<http::Response> send(const http::Request& request) override;
--- a/src/cli/log_commands.cpp
+++ b/src/cli/log_commands.cpp
@@ -15,7 +15,7 @@
       nlohmann::json::parse(before, nullptr, false), nlohmann::json::parse(after, nullptr, false));
   if (format == OutputFormat::Table) {
     for (const BundleChange& change : changes) {
-      out << describeChange(change) << '\n';
+      out << formatChange(change) << '\n';
     }
     return;
   }
@@ -29,8 +29,9 @@
   printTable(out, format, table);
 }
 
-/// Shows the loser what the winners changed since the base that both started from.
-void printWhatWon(CommandContext& context, const BundleHistory& history, BundleVersion base) {
+/// After a conflict, prints the changes from the base version to the newest accepted one.
+void printWinningChanges(CommandContext& context, const BundleHistory& history,
+                         BundleVersion base) {
   const auto before = history.recent(base);
   const auto newest = history.newest();
   if (context.options.format == OutputFormat::Json || before == nullptr || newest == nullptr ||
@@ -39,7 +40,7 @@
   }
   context.err << "changed from version " << before->bundle.version.value() << " to version "
               << newest->bundle.version.value() << ":\n";
-  printDiff(context.err, context.options.format, bundleTextOf(*before), bundleTextOf(*newest));
+  printDiff(context.err, context.options.format, bundleJsonOf(*before), bundleJsonOf(*newest));
 }
 
 BundleVersion baseOf(const BundleFile& file) {
@@ -48,7 +49,7 @@
   return content == nullptr ? BundleVersion() : content->base;
 }
 
-std::string fateOf(const HistoryEntry& entry, const BundleHistory& history) {
+std::string outcomeTextOf(const HistoryEntry& entry, const BundleHistory& history) {
   if (entry.refusal) {
     return entry.refusal->reason;
   }
@@ -103,13 +104,13 @@
   if (!succeeded(result)) {
     const ExitCode code = fail(context, errorOf(result));
     if (code == ExitCode::Conflict) {
-      printWhatWon(context, valueOf(session)->history(), baseOf(valueOf(file)));
+      printWinningChanges(context, valueOf(session)->history(), baseOf(valueOf(file)));
     }
     return code;
   }
   const Publication& publication = valueOf(result);
   printObject(context.out, context.options.format,
-              {{"result", publication.stoodAlready ? "already published" : "published"},
+              {{"result", publication.wasAlreadyPublished ? "already published" : "published"},
                {"won", true},
                {"version", publication.version.value()},
                {"offset", publication.offset.value()},
@@ -127,7 +128,7 @@
   for (const HistoryEntry& entry : history.entries()) {
     table.rows.push_back({entry.offset.value(), entry.version.value(), entry.base.value(),
                           joined(entry.signers), !entry.refusal.has_value(),
-                          fateOf(entry, history)});
+                          outcomeTextOf(entry, history)});
   }
   printTable(context.out, context.options.format, table);
   return ExitCode::Done;
@@ -146,7 +147,7 @@
     return fail(context, errorOf(session));
   }
   const auto newest = valueOf(session)->history().newest();
-  return diffFiles(context, newest == nullptr ? "{}" : bundleTextOf(*newest));
+  return diffFiles(context, newest == nullptr ? "{}" : bundleJsonOf(*newest));
 }
 
 }  // namespace gorsetrail::cli
--- a/src/cli/log_losses.cpp
+++ b/src/cli/log_losses.cpp
@@ -17,8 +17,7 @@
   std::string_view reasonPrefix;
   std::string_view cause;
 };
-/// Reasons of `request_ended` lines by what an operator looks at; the first prefix that fits
-/// counts.
+/// Maps reasons of `request_ended` lines to causes; the first matching prefix applies.
 constexpr std::array<CauseOfReason, 29> kCauses = {{{"store_not_answering", "store"},
                                                     {"reservation_unavailable", "store"},
                                                     {"history_unavailable", "store"},
@@ -49,7 +48,7 @@
                                                     {"no_key", "key"},
                                                     {"conflicting_headers", "malformed"}}};
 
-/// Causes that the line of a refusal tells apart, by its event.
+/// Cause of a refusal by its event and by the result of `classifyRefusal`.
 struct CauseOfRefusal {
   std::string_view event;
   std::string_view meaning;
@@ -67,7 +66,7 @@
      {"placement_refused", "all_full", "no_place_at_replicas"}}};
 
 std::string_view causeOfRefusal(const LogLine& line) {
-  const std::string_view meaning = refusalMeaning(line);
+  const std::string_view meaning = classifyRefusal(line);
   for (const CauseOfRefusal& known : kRefusalCauses) {
     if (known.event == line.event && known.meaning == meaning) {
       return known.cause;
@@ -76,14 +75,14 @@
   return {};
 }
 
-/// \return whether the line is a request's end, or a count of such lines.
-bool tellsEnds(const LogLine& line) {
+/// \return whether the line reports the end of one request or a count of such lines.
+bool isRequestEnd(const LogLine& line) {
   return line.event == "request_ended" ||
          (line.event == "refusals_counted" && line.fieldOf("of") == "request_ended");
 }
 
-/// \return requests that the line stands for.
-std::uint64_t requestsOf(const LogLine& line) {
+/// \return the number of requests that the line covers.
+std::uint64_t requestCountOf(const LogLine& line) {
   return line.event == "refusals_counted" ? line.numberOf("count") : 1;
 }
 
@@ -113,26 +112,26 @@
       continue;
     }
     line->source = line->source.empty() ? source : line->source;
-    if (tellsEnds(*line)) {
-      take(std::move(*line));
+    if (isRequestEnd(*line)) {
+      addEndedRequest(std::move(*line));
     } else if (const std::string_view cause = causeOfRefusal(*line); !cause.empty()) {
-      refused_[{line->source, line->fieldOf("request")}] = cause;
+      refusalCauses_[{line->source, line->fieldOf("request")}] = cause;
     }
   }
 }
 
-std::string LogLosses::takeCause(const LogLine& line) {
-  const auto refused = refused_.find({line.source, line.fieldOf("request")});
-  if (refused == refused_.end()) {
+std::string LogLosses::resolveCause(const LogLine& line) {
+  const auto refused = refusalCauses_.find({line.source, line.fieldOf("request")});
+  if (refused == refusalCauses_.end()) {
     return causeOfEnd(line);
   }
   const std::string cause(refused->second);
-  refused_.erase(refused);
+  refusalCauses_.erase(refused);
   return line.fieldOf("outcome") == "answered" ? causeOfEnd(line) : cause;
 }
 
-void LogLosses::take(LogLine line) {
-  std::string cause = takeCause(line);
+void LogLosses::addEndedRequest(LogLine line) {
+  std::string cause = resolveCause(line);
   Program& program = programs_[line.fieldOf("program")];
   if (program.route.empty()) {
     program.route = line.fieldOf("route");
@@ -146,20 +145,20 @@
   const std::string left = line.fieldOf("program_left_ms");
   if (left == "0" && !program.late) {
     program.late = true;
-    program.lateAt = line.timeMilliseconds;
+    program.lateAtMilliseconds = line.timeMilliseconds;
   }
   if (line.fieldOf("outcome") != "answered") {
     program.unanswered.push_back({std::move(line), std::move(cause)});
   }
 }
 
-LogLosses::Loss LogLosses::lossOf(const Program& program) {
+LogLosses::Loss LogLosses::classifyLoss(const Program& program) {
   Loss loss;
   if (program.unanswered.empty()) {
     const auto longest = std::max_element(
         program.steps.begin(), program.steps.end(),
         [](const auto& left, const auto& right) { return left.second < right.second; });
-    loss = {longest->first, program.route, program.lateAt, 0, longest->second};
+    loss = {longest->first, program.route, program.lateAtMilliseconds, 0, longest->second};
     return loss;
   }
   const auto first =
@@ -169,10 +168,10 @@
                        });
   const std::string route = first->line.fieldOf("route");
   loss = {first->cause, route.empty() ? program.route : route, first->line.timeMilliseconds, 0, 0};
-  loss.goesOn = !first->line.fieldOf("previous_turn").empty();
+  loss.isContinuation = !first->line.fieldOf("previous_turn").empty();
   for (const auto& [line, cause] : program.unanswered) {
     if (cause == loss.cause) {
-      loss.requests += requestsOf(line);
+      loss.requests += requestCountOf(line);
       loss.tookMilliseconds += line.numberOf("took_ms");
     }
   }
@@ -183,13 +182,13 @@
   std::vector<Loss> all;
   for (const auto& [id, program] : programs_) {
     if (program.late || !program.unanswered.empty()) {
-      all.push_back(lossOf(program));
+      all.push_back(classifyLoss(program));
     }
   }
   return all;
 }
 
-std::uint64_t LogLosses::programsLost() const { return losses().size(); }
+std::uint64_t LogLosses::lostProgramCount() const { return losses().size(); }
 
 std::vector<LossGroup> LogLosses::groups() const {
   std::map<std::pair<std::string, std::string>, LossGroup> byCause;
@@ -198,7 +197,7 @@
     group.cause = loss.cause;
     group.route = loss.route;
     ++group.programs;
-    group.goingOn += loss.goesOn ? 1 : 0;
+    group.continuedPrograms += loss.isContinuation ? 1 : 0;
     group.requests += loss.requests;
     group.tookMilliseconds += loss.tookMilliseconds;
   }
--- a/src/cli/log_refusal.cpp
+++ b/src/cli/log_refusal.cpp
@@ -9,7 +9,7 @@
 constexpr std::string_view kNotDecided = "not_decided";
 constexpr std::string_view kNoAnswer = "no_answer";
 
-std::string_view reservationMeaning(const LogLine& line) {
+std::string_view classifyReservationRefusal(const LogLine& line) {
   const std::string reason = line.fieldOf("reason");
   if (reason == "unseen_spending") {
     return kChargedForDead;
@@ -17,33 +17,33 @@
   return reason == "no_answer" ? kNoAnswer : kNotDecided;
 }
 
-// An answer older than the wait is one to an earlier request.
-std::string_view quotaMeaning(const LogLine& line) {
+// A reply older than the wait belongs to an earlier request.
+std::string_view classifyQuotaRefusal(const LogLine& line) {
   const bool everAnswered = !line.fieldOf("last_answer_ms").empty();
   const bool answeredMeanwhile =
       everAnswered && line.numberOf("last_answer_ms") <= line.numberOf("waited_ms");
   return answeredMeanwhile ? kNotDecided : kNoAnswer;
 }
 
-std::string_view placementMeaning(const LogLine& line) {
+std::string_view classifyPlacementRefusal(const LogLine& line) {
   const bool hasRoomElsewhere = line.numberOf("least_load_percent") < line.numberOf("load_percent");
   return hasRoomElsewhere ? "full_beside_room" : "all_full";
 }
 
 }  // namespace
 
-std::string_view refusalMeaning(const LogLine& line) {
+std::string_view classifyRefusal(const LogLine& line) {
   if (line.event == "reservation_refused") {
-    return reservationMeaning(line);
+    return classifyReservationRefusal(line);
   }
   if (line.event == "history_refused") {
     return line.fieldOf("coordinator_lives") == "1" ? kNotDecided : kNoAnswer;
   }
   if (line.event == "quota_unknown") {
-    return quotaMeaning(line);
+    return classifyQuotaRefusal(line);
   }
   if (line.event == "placement_refused") {
-    return placementMeaning(line);
+    return classifyPlacementRefusal(line);
   }
   return {};
 }
--- a/src/cli/log_refusal.h
+++ b/src/cli/log_refusal.h
@@ -1,4 +1,4 @@
-/// \file What the line of a refusal says, in one word.
+/// \file Classifies the log line of a refusal.
 #pragma once
 
 #include <string_view>
@@ -7,13 +7,13 @@
 
 namespace gorsetrail::cli {
 
-/// What refused a request, told by the line that an edge node writes before `request_ended`:
-/// - `charged_for_dead`: the budget has room, but leases of dead processes may have spent it;
-/// - `not_decided`: a coordinator replied, and could not decide;
+/// Classifies the refusal line that an edge node writes before `request_ended`:
+/// - `charged_for_dead`: the budget has room, but leases of dead processes may have used it;
+/// - `not_decided`: a coordinator replied, but could not decide;
 /// - `no_answer`: no coordinator replied;
-/// - `full_beside_room`: the replica that was judged is full, and another has less load;
+/// - `full_beside_room`: the selected replica is full, and another has less load;
 /// - `all_full`: no replica has less load than the full one.
-/// \return the word; empty when the line is none of these.
-std::string_view refusalMeaning(const LogLine& line);
+/// \return the class; empty when the line is no such refusal.
+std::string_view classifyRefusal(const LogLine& line);
 
 }  // namespace gorsetrail::cli
--- a/src/cli/log_session.cpp
+++ b/src/cli/log_session.cpp
@@ -29,7 +29,7 @@
   return session;
 }
 
-std::string bundleTextOf(const bundle::AcceptedBundle& accepted) {
+std::string bundleJsonOf(const bundle::AcceptedBundle& accepted) {
   const Result<bundle::SignedBundle> decoded = bundle::decodeEnvelope(accepted.envelope);
   return succeeded(decoded) ? valueOf(decoded).bundleJson : std::string();
 }
--- a/src/cli/log_session.h
+++ b/src/cli/log_session.h
@@ -1,4 +1,4 @@
-/// \file Log, history and publisher of one command, made from its flags.
+/// \file Opens the bundle log, its history and a publisher from command flags.
 #pragma once
 
 #include <memory>
@@ -8,11 +8,12 @@
 
 namespace gorsetrail::cli {
 
-/// The bundle stream as one command sees it. Not movable: its parts refer to each other.
+/// Bundle log, history and publisher of one command. Not movable, because the publisher refers to
+/// the other members.
 class LogSession {
  public:
-  /// Reads --log and --settings, then the whole stream.
-  /// \return the session, or what keeps it from being one.
+  /// Reads the settings file and then the whole bundle stream.
+  /// \return the session, or the first error of flags, settings or log.
   static Result<std::unique_ptr<LogSession>> open(CommandContext& context);
 
   LogSession(const LogSession&) = delete;
@@ -29,7 +30,7 @@
   Publisher publisher_;
 };
 
-/// \return the bundle's bytes of an accepted envelope.
-std::string bundleTextOf(const bundle::AcceptedBundle& accepted);
+/// \return the bundle JSON inside an accepted envelope.
+std::string bundleJsonOf(const bundle::AcceptedBundle& accepted);
 
 }  // namespace gorsetrail::cli
--- a/src/cli/log_story.cpp
+++ b/src/cli/log_story.cpp
@@ -9,22 +9,22 @@
 namespace {
 
 constexpr std::string_view kTimeKey = "time_ms=";
-/// Beliefs that changed this long before the request's first line may explain it.
-constexpr std::uint64_t kBackgroundMilliseconds = 2000;
-constexpr std::array<std::string_view, 11> kBeliefEvents = {"store_lost",
-                                                            "store_regained",
-                                                            "store_way",
-                                                            "replica_gone",
-                                                            "replica_doubted",
-                                                            "replica_changed",
-                                                            "stop_begun",
-                                                            "started",
-                                                            "zone_evacuated",
-                                                            "configuration_in_force",
-                                                            "evacuation_taken_back"};
+/// State changes up to this long before a line of the request are included.
+constexpr std::uint64_t kStateChangeWindowMilliseconds = 2000;
+constexpr std::array<std::string_view, 11> kStateChangeEvents = {"store_lost",
+                                                                 "store_regained",
+                                                                 "store_way",
+                                                                 "replica_gone",
+                                                                 "replica_doubted",
+                                                                 "replica_changed",
+                                                                 "stop_begun",
+                                                                 "started",
+                                                                 "zone_evacuated",
+                                                                 "configuration_in_force",
+                                                                 "evacuation_taken_back"};
 
-/// Reads one value: bare to the next blank, or quoted with backslash escapes.
-std::string takeValue(std::string_view& rest) {
+/// Consumes one value: unquoted up to the next blank, or quoted with backslash escapes.
+std::string parseValue(std::string_view& rest) {
   std::string value;
   if (rest.empty() || rest.front() != '"') {
     const std::size_t end = std::min(rest.find(' '), rest.size());
@@ -82,7 +82,7 @@
     }
     std::string key(rest.substr(0, equals));
     rest.remove_prefix(equals + 1);
-    std::string value = takeValue(rest);
+    std::string value = parseValue(rest);
     if (key == "time_ms") {
       std::from_chars(value.data(), value.data() + value.size(), line.timeMilliseconds);
     } else if (key == "event") {
@@ -99,27 +99,28 @@
   for (std::string text; std::getline(lines, text);) {
     std::optional<LogLine> line = parseLogLine(text);
     if (!line) {
-      ++passedOver_;
+      ++skippedLines_;
       continue;
     }
     if (line->source.empty()) {
       line->source = source;
     }
-    const bool isBelief =
-        std::find(kBeliefEvents.begin(), kBeliefEvents.end(), line->event) != kBeliefEvents.end();
+    const bool isStateChange = std::find(kStateChangeEvents.begin(), kStateChangeEvents.end(),
+                                         line->event) != kStateChangeEvents.end();
     if (line->fieldOf("request") == request_) {
-      ofRequest_.push_back(std::move(*line));
-    } else if (isBelief) {
-      beliefs_.push_back(std::move(*line));
+      requestLines_.push_back(std::move(*line));
+    } else if (isStateChange) {
+      stateChanges_.push_back(std::move(*line));
     }
   }
 }
 
-bool LogStory::isBackground(const LogLine& line) const {
-  return std::any_of(ofRequest_.begin(), ofRequest_.end(), [&](const LogLine& own) {
+bool LogStory::isRelatedStateChange(const LogLine& line) const {
+  return std::any_of(requestLines_.begin(), requestLines_.end(), [&](const LogLine& own) {
     const bool sameNode = own.source == line.source;
-    const bool inTime = line.timeMilliseconds <= own.timeMilliseconds &&
-                        line.timeMilliseconds + kBackgroundMilliseconds >= own.timeMilliseconds;
+    const bool inTime =
+        line.timeMilliseconds <= own.timeMilliseconds &&
+        line.timeMilliseconds + kStateChangeWindowMilliseconds >= own.timeMilliseconds;
     const std::string replica = line.fieldOf("replica");
     const bool concerns = replica.empty() || replica == own.fieldOf("replica");
     return sameNode && inTime && concerns;
@@ -127,9 +128,9 @@
 }
 
 std::vector<LogLine> LogStory::lines() const {
-  std::vector<LogLine> story = ofRequest_;
-  std::copy_if(beliefs_.begin(), beliefs_.end(), std::back_inserter(story),
-               [this](const LogLine& line) { return isBackground(line); });
+  std::vector<LogLine> story = requestLines_;
+  std::copy_if(stateChanges_.begin(), stateChanges_.end(), std::back_inserter(story),
+               [this](const LogLine& line) { return isRelatedStateChange(line); });
   std::stable_sort(story.begin(), story.end(), [](const LogLine& left, const LogLine& right) {
     return left.timeMilliseconds < right.timeMilliseconds;
   });
--- a/src/cli/log_story.h
+++ b/src/cli/log_story.h
@@ -1,4 +1,4 @@
-/// \file Log lines of edge nodes, and the story of one request in them.
+/// \file Parses log lines of edge nodes and collects those about one request.
 #pragma once
 
 #include <cstdint>
@@ -11,43 +11,43 @@
 
 namespace gorsetrail::cli {
 
-/// One line that a node wrote.
+/// One parsed log line of a node.
 struct LogLine {
-  std::uint64_t timeMilliseconds = 0;  ///< Time of day at the node.
-  std::string source;                  ///< What stood before the line (a node's name), or its file.
+  std::uint64_t timeMilliseconds = 0;  ///< Wall-clock time at the node.
+  std::string source;  ///< Last word of the line's prefix (a node's name), or the file.
   std::string event;
   std::vector<std::pair<std::string, std::string>> fields;  ///< Without time and event.
 
   /// \return the value of a field; empty when there is none.
   [[nodiscard]] std::string fieldOf(std::string_view key) const;
-  /// \return the field as a number; 0 when it is none.
+  /// \return the field as a number; 0 when it is not a number.
   [[nodiscard]] std::uint64_t numberOf(std::string_view key) const;
 };
 
-/// \return the line, or nothing when the text is no log line. Anything before `time_ms=` (a
-/// collector's prefix) is kept as the source when it ends with a node's name.
+/// \return the line, or nothing when the text is not a log line. The last word before `time_ms=`
+/// (a log collector's prefix) becomes the source.
 std::optional<LogLine> parseLogLine(std::string_view text);
 
-/// Keeps the lines that tell about one request, and the changes of its nodes' beliefs about the
-/// replicas and the store that fell into its time.
+/// Collects the log lines of one request and the state changes (replicas, store, configuration)
+/// that its nodes logged shortly before them.
 class LogStory {
  public:
   explicit LogStory(std::string request) : request_(std::move(request)) {}
 
-  /// Reads lines; what is no log line is passed over and counted.
+  /// Reads lines; skips and counts those that are not log lines.
   void read(std::istream& lines, const std::string& source);
-  /// \return the story, oldest line first.
+  /// \return the collected lines, oldest first.
   [[nodiscard]] std::vector<LogLine> lines() const;
-  [[nodiscard]] bool found() const { return !ofRequest_.empty(); }
-  [[nodiscard]] std::uint64_t passedOver() const { return passedOver_; }
+  [[nodiscard]] bool found() const { return !requestLines_.empty(); }
+  [[nodiscard]] std::uint64_t passedOver() const { return skippedLines_; }
 
  private:
-  [[nodiscard]] bool isBackground(const LogLine& line) const;
+  [[nodiscard]] bool isRelatedStateChange(const LogLine& line) const;
 
   std::string request_;
-  std::vector<LogLine> ofRequest_;
-  std::vector<LogLine> beliefs_;
-  std::uint64_t passedOver_ = 0;
+  std::vector<LogLine> requestLines_;
+  std::vector<LogLine> stateChanges_;
+  std::uint64_t skippedLines_ = 0;
 };
 
 }  // namespace gorsetrail::cli
--- a/src/cli/losses_command.cpp
+++ b/src/cli/losses_command.cpp
@@ -1,4 +1,4 @@
-// `losses`: why programs were late, refused or failed, over the logs of all nodes.
+// `losses`: late, refused and failed programs by cause, from the logs of all nodes.
 #include <fstream>
 #include <iostream>
 
@@ -12,8 +12,8 @@
 Table tableOf(const std::vector<LossGroup>& groups) {
   Table table{{"cause", "route", "programs", "going_on", "requests", "took_ms"}, {}};
   for (const LossGroup& group : groups) {
-    table.rows.push_back({group.cause, group.route, group.programs, group.goingOn, group.requests,
-                          group.tookMilliseconds});
+    table.rows.push_back({group.cause, group.route, group.programs, group.continuedPrograms,
+                          group.requests, group.tookMilliseconds});
   }
   return table;
 }
@@ -47,7 +47,7 @@
   }
   printTable(context.out, context.options.format, tableOf(losses.groups()));
   if (context.options.format == OutputFormat::Table) {
-    context.out << losses.programsLost() << " of " << losses.programsSeen()
+    context.out << losses.lostProgramCount() << " of " << losses.programCount()
                 << " programs in these lines were late, refused or failed\n";
   }
   return ExitCode::Done;
--- a/src/cli/new_command.cpp
+++ b/src/cli/new_command.cpp
@@ -1,4 +1,4 @@
-/// `bundle new`: a first bundle, or the next after a file or after the newest of the log.
+/// `bundle new`: writes a first bundle, or the version after a file or after the newest in the log.
 #include "bundle/ed25519.h"
 #include "cli/bundle_files.h"
 #include "cli/command.h"
@@ -9,7 +9,7 @@
 namespace gorsetrail::cli {
 namespace {
 
-/// A small bundle that passes the check; the operator replaces its names and addresses.
+/// A minimal valid bundle; the operator replaces its names and addresses.
 constexpr const char* kFirstBundle = R"json({
   "format": 1, "site": "", "version": 1, "base": 0, "latency_weight": 0.5, "signatures_needed": 1,
   "operators": [],
@@ -66,7 +66,7 @@
   if (!errors.empty()) {
     return errors.front();
   }
-  return nextVersionOf(text);
+  return makeNextVersion(text);
 }
 
 Result<OrderedJson> nextAfterLog(CommandContext& context) {
@@ -79,7 +79,7 @@
     return Error{ErrorKind::BundleNotInForce, "--log", "the log has no valid bundle of this site",
                  "make the first one: give --site, --name and --key"};
   }
-  return nextVersionOf(bundleTextOf(*newest));
+  return makeNextVersion(bundleJsonOf(*newest));
 }
 
 Result<OrderedJson> makeBundle(CommandContext& context) {
--- a/src/cli/node_commands.cpp
+++ b/src/cli/node_commands.cpp
@@ -1,4 +1,4 @@
-/// Commands that ask nodes: bundle status, nodes, programs.
+/// Commands that query nodes: bundle status, nodes, programs.
 #include <algorithm>
 #include <cstdio>
 #include <nlohmann/json.hpp>
@@ -26,7 +26,7 @@
   return context.http.send(request);
 }
 
-/// \return the node's status, or why there is none.
+/// \return the node's status, or the error that prevented reading it.
 Result<json> statusOf(CommandContext& context, const std::string& address) {
   const Result<http::Response> response = get(context, address, "/v1/status");
   if (!succeeded(response)) {
@@ -34,9 +34,10 @@
   }
   json status = json::parse(valueOf(response).body, nullptr, false);
   if (valueOf(response).status != kHttpOk || !status.is_object()) {
-    return Error{ErrorKind::PlatformUnavailable, address,
-                 "status " + std::to_string(valueOf(response).status) + " in place of a node's",
-                 "check that --nodes names the caller side of nodes"};
+    return Error{
+        ErrorKind::PlatformUnavailable, address,
+        "status " + std::to_string(valueOf(response).status) + " instead of a node's status object",
+        "check that --nodes names the caller side of nodes"};
   }
   return status;
 }
@@ -54,8 +55,8 @@
 
 struct StatusSurvey {
   Table table{{"address", "node", "zone", "incarnation", "bundle_version", "members", "error"}, {}};
-  std::size_t unreached = 0;
-  std::size_t behind = 0;
+  std::size_t unreachableNodes = 0;
+  std::size_t outdatedNodes = 0;
 };
 
 StatusSurvey surveyStatus(CommandContext& context) {
@@ -63,13 +64,13 @@
   for (const std::string& address : context.options.nodes) {
     const Result<json> status = statusOf(context, address);
     if (!succeeded(status)) {
-      ++survey.unreached;
+      ++survey.unreachableNodes;
       survey.table.rows.push_back(
           {address, nullptr, nullptr, nullptr, nullptr, nullptr, errorOf(status).reason});
       continue;
     }
     const json& value = valueOf(status);
-    survey.behind += hasVersion(value, context.options.waitVersion) ? 0 : 1;
+    survey.outdatedNodes += hasVersion(value, context.options.waitVersion) ? 0 : 1;
     const json members = value.value("members", json::array());
     survey.table.rows.push_back({address, valueAt(value, "node"), valueAt(value, "zone"),
                                  valueAt(value, "incarnation"), valueAt(value, "bundle_version"),
@@ -79,13 +80,13 @@
 }
 
 ExitCode exitCodeOfSurvey(const StatusSurvey& survey, std::uint64_t wanted) {
-  if (survey.unreached > 0) {
+  if (survey.unreachableNodes > 0) {
     return ExitCode::PlatformUnavailable;
   }
-  return wanted > 0 && survey.behind > 0 ? ExitCode::Refused : ExitCode::Done;
+  return wanted > 0 && survey.outdatedNodes > 0 ? ExitCode::Refused : ExitCode::Done;
 }
 
-/// Names of programs hold letters, digits and `._-`; anything else is escaped (RFC 3986).
+/// Percent-encodes all but the unreserved characters of RFC 3986.
 std::string escaped(const std::string& text) {
   std::string result;
   for (const char character : text) {
@@ -93,9 +94,9 @@
     if (std::isalnum(code) != 0 || std::string_view("._-~").find(character) != std::string::npos) {
       result += character;
     } else {
-      char code3[4];
-      std::snprintf(code3, sizeof(code3), "%%%02X", code);
-      result += code3;
+      char escapeSequence[4];
+      std::snprintf(escapeSequence, sizeof(escapeSequence), "%%%02X", code);
+      result += escapeSequence;
     }
   }
   return result;
@@ -123,7 +124,7 @@
   return url.substr(kScheme.size(), url.find('/', kScheme.size()) - kScheme.size());
 }
 
-/// Asks a node, and once more the owner that it names.
+/// Queries a node and follows at most one redirect to the owner.
 Result<http::Response> askForProgram(CommandContext& context, const std::string& address,
                                      const std::string& target) {
   Result<http::Response> response = get(context, address, target);
--- a/src/cli/options.cpp
+++ b/src/cli/options.cpp
@@ -55,8 +55,8 @@
   return parts;
 }
 
-/// gflags' own parser ends the process on a fault with code 1 and prints every flag of every
-/// library, so that words and flags are told apart here and gflags checks and keeps the values.
+/// Separates words from flags and lets gflags validate and store the values. The parser of gflags
+/// is not used, because on an error it exits with code 1 and prints the flags of all libraries.
 class Reader {
  public:
   explicit Reader(const std::vector<std::string>& arguments) : arguments_(arguments) {}
@@ -65,16 +65,16 @@
     resetFlags();
     while (next_ < arguments_.size()) {
       const std::string argument = arguments_[next_++];
-      const Result<Success> taken = take(argument);
-      if (!succeeded(taken)) {
-        return errorOf(taken);
+      const Result<Success> parsed = parseArgument(argument);
+      if (!succeeded(parsed)) {
+        return errorOf(parsed);
       }
     }
     return finish();
   }
 
  private:
-  /// gflags keeps values for the life of the process; a line must not see those of another.
+  /// Restores the defaults, because gflags keeps the values of an earlier call in the process.
   static void resetFlags() {
     for (const std::string_view name : kFlags) {
       gflags::CommandLineFlagInfo info;
@@ -84,7 +84,7 @@
     }
   }
 
-  Result<Success> take(const std::string& argument) {
+  Result<Success> parseArgument(const std::string& argument) {
     if (argument == "--help" || argument == "-h") {
       line_.options.help = true;
       return Success{};
@@ -93,10 +93,10 @@
       line_.words.push_back(argument);
       return Success{};
     }
-    return takeFlag(argument);
+    return parseFlag(argument);
   }
 
-  Result<Success> takeFlag(const std::string& argument) {
+  Result<Success> parseFlag(const std::string& argument) {
     const std::string body = argument.substr(argument.starts_with("--") ? 2 : 1);
     const std::size_t equals = body.find('=');
     const std::string name = body.substr(0, equals);
@@ -114,7 +114,7 @@
       value = arguments_[next_++];
     }
     if (gflags::SetCommandLineOption(name.c_str(), value.c_str()).empty()) {
-      return usageError("--" + name, "\"" + value + "\" is no value for it");
+      return usageError("--" + name, "\"" + value + "\" is not a valid value for this flag");
     }
     return Success{};
   }
--- a/src/cli/options.h
+++ b/src/cli/options.h
@@ -1,4 +1,4 @@
-/// \file What the operator asked for: words, then flags.
+/// \file Command-line parsing.
 #pragma once
 
 #include <cstdint>
@@ -21,12 +21,12 @@
   std::string key;                     ///< PEM file of the private key.
   std::string log;                     ///< `ip:port` of the platform's log.
   std::string name;                    ///< Operator's name.
-  std::vector<std::string> nodes;      ///< `ip:port` of nodes' caller side.
+  std::vector<std::string> nodes;      ///< `ip:port` of the nodes' client listeners.
   std::string out;                     ///< File to write.
   std::string settings;                ///< JSON file with `site` and `trust`.
   std::string site;                    ///< Site of a first bundle.
   std::string tenant;                  ///< Tenant of a program.
-  std::uint32_t timeLimitSeconds = 0;  ///< For one request, and for waiting in whole.
+  std::uint32_t timeLimitSeconds = 0;  ///< Per request, and for the whole of a wait.
   std::uint64_t waitVersion = 0;       ///< `bundle status`: wait until every node has it.
   std::string zone;                    ///< Home zone of a program.
 };
@@ -37,9 +37,9 @@
   Options options;
 };
 
-/// Reads words and `--flag value` or `--flag=value` in any order; flags are gflags' definitions.
+/// Parses words and `--flag value` or `--flag=value` in any order; flags are gflags' definitions.
 /// \param arguments without the program's name.
-/// \return the line, or `InvalidField` for an unknown flag or an unusable value.
+/// \return the command line, or `InvalidField` for an unknown flag or an invalid value.
 Result<CommandLine> parseCommandLine(const std::vector<std::string>& arguments);
 
 /// \return the names of all flags, sorted, without dashes.
--- a/src/cli/publisher.cpp
+++ b/src/cli/publisher.cpp
@@ -27,7 +27,8 @@
                     });
 }
 
-/// New operators must show that they can sign, or nobody could ever publish the next version.
+/// Requires signatures of the new operators, because with a wrong key nobody could publish the next
+/// version.
 Result<Success> checkOwnOperatorsSigned(const std::string& envelope,
                                         const bundle::AcceptedBundle* newest) {
   const Result<bundle::SignedBundle> decoded = bundle::decodeEnvelope(envelope);
@@ -55,7 +56,7 @@
 }  // namespace
 
 Result<Success> Publisher::refresh() {
-  const Result<std::vector<BundleRecord>> records = log_.readOn();
+  const Result<std::vector<BundleRecord>> records = log_.readNewRecords();
   if (!succeeded(records)) {
     return errorOf(records);
   }
@@ -89,7 +90,7 @@
   if (own != nullptr && !own->refusal) {
     return Publication{own->version, own->offset, true};
   }
-  const Result<BundleVersion> next = history_.tryNext(envelope);
+  const Result<BundleVersion> next = history_.validateNext(envelope);
   if (!succeeded(next)) {
     BundleHistory afterwards = history_;
     afterwards.add(BundleRecord{LogOffset(), envelope});
@@ -99,15 +100,15 @@
   if (!succeeded(rules)) {
     return errorOf(rules);
   }
-  return awaitOwnRecord(envelope, log_.append(envelope));
+  return waitForOwnRecord(envelope, log_.append(envelope));
 }
 
-Result<Publication> Publisher::awaitOwnRecord(const std::string& envelope,
-                                              const Result<LogOffset>& appended) {
+Result<Publication> Publisher::waitForOwnRecord(const std::string& envelope,
+                                                const Result<LogOffset>& appended) {
   const std::size_t known = history_.entries().size();
   const std::string digest = bundle::bundleDigest(envelope);
   for (int attempt = 0; attempt < kReadsAfterAppend; ++attempt) {
-    // A failed read is tried again: reading changes nothing.
+    // A failed read is retried, because reads have no side effects.
     refresh();
     const auto& entries = history_.entries();
     const auto own =
@@ -118,12 +119,12 @@
     }
     pause_(kPauseBetweenReads);
   }
-  const std::string reason = succeeded(appended)
-                                 ? "the log took the record at offset " +
-                                       std::to_string(valueOf(appended).value()) +
-                                       " but does not show it yet"
-                                 : "the append got no answer (" + errorOf(appended).reason +
-                                       ") and the record is not in the log; it may still land";
+  const std::string reason =
+      succeeded(appended)
+          ? "the log accepted the record at offset " + std::to_string(valueOf(appended).value()) +
+                " but does not return it yet"
+          : "the append got no answer (" + errorOf(appended).reason +
+                ") and the record is not in the log; it may still be appended";
   return Error{ErrorKind::OutcomeNotKnown, "--log", reason,
                "publish the same file again: it looks in the log before it appends"};
 }
--- a/src/cli/publisher.h
+++ b/src/cli/publisher.h
@@ -1,4 +1,4 @@
-/// \file Publishes a signed bundle: at most one append, then who won.
+/// \file Publishes a signed bundle with at most one append.
 #pragma once
 
 #include <functional>
@@ -12,19 +12,19 @@
 
 namespace gorsetrail::cli {
 
-/// Waits; tests pass none.
+/// Sleeps for a duration; tests inject a function that returns at once.
 using Pause = std::function<void(Duration)>;
 
-/// A record of ours that won its place.
+/// An accepted record that this command published.
 struct Publication {
   BundleVersion version;
   LogOffset offset;
-  bool stoodAlready = false;  ///< It was found before anything was appended.
+  bool wasAlreadyPublished = false;  ///< The log had the record before this call.
 };
 
-/// Appends an envelope unless it stands in the log already or cannot win. The answer to an append
-/// can be lost after it took effect, so after any append the log is read until the record is seen,
-/// and nothing is ever appended a second time.
+/// Appends an envelope unless the log already has it or the nodes would refuse it. The response to
+/// an append can be lost after it took effect, so the log is then read until the record appears or
+/// the reads are used up; the append is never retried.
 class Publisher {
  public:
   Publisher(BundleLog& log, BundleHistory& history, Pause pause)
@@ -33,15 +33,15 @@
   /// Reads the log up to its end into the history.
   Result<Success> refresh();
 
-  /// \return the record once it is seen to have won, or why not: `BundleConflict` (names the
-  /// winner), `InvalidSignature`, `InvalidBundle`, `PlatformUnavailable` (nothing was appended), or
-  /// `OutcomeNotKnown` (it may still land; publishing the same file again looks first).
+  /// \return the record once the log shows it as accepted, or `BundleConflict` (names the accepted
+  /// version), `InvalidSignature`, `InvalidBundle`, `PlatformUnavailable` (nothing was appended),
+  /// or `OutcomeNotKnown` (it may still be appended; publishing the same file again is safe).
   Result<Publication> publish(const std::string& envelope);
 
  private:
   [[nodiscard]] Result<Publication> outcomeOf(const HistoryEntry& entry) const;
-  Result<Publication> awaitOwnRecord(const std::string& envelope,
-                                     const Result<LogOffset>& appended);
+  Result<Publication> waitForOwnRecord(const std::string& envelope,
+                                       const Result<LogOffset>& appended);
 
   BundleLog& log_;
   BundleHistory& history_;
--- a/src/cli/report.cpp
+++ b/src/cli/report.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kColumnGap = 2;
 
-/// Text of others (logs, nodes) must not steer the operator's terminal.
+/// Text from logs and nodes must not contain terminal control sequences.
 std::string printable(std::string text) {
   std::replace_if(
       text.begin(), text.end(),
--- a/src/cli/report.h
+++ b/src/cli/report.h
@@ -1,4 +1,4 @@
-/// \file Output of commands as an aligned table or as one JSON value.
+/// \file Prints command output as an aligned table or as one JSON value.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -22,13 +22,13 @@
 /// Prints rows; as JSON a list of objects.
 void printTable(std::ostream& out, OutputFormat format, const Table& table);
 
-/// Prints one object: a line a key, or JSON.
+/// Prints one object: one line per key, or JSON.
 void printObject(std::ostream& out, OutputFormat format, const OrderedJson& object);
 
-/// Prints errors: a line each, or `{"errors": [{"kind","field","reason","remedy"}]}`.
+/// Prints errors: one line each, or `{"errors": [{"kind","field","reason","remedy"}]}`.
 void printErrors(std::ostream& out, OutputFormat format, const std::vector<Error>& errors);
 
-/// \return JSON as text; bytes that are no UTF-8 are replaced.
+/// \return JSON as text; invalid UTF-8 is replaced.
 std::string jsonText(const OrderedJson& value, int indent = 2);
 
 }  // namespace gorsetrail::cli
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -51,10 +51,11 @@
 ExitCode runCommand(const Command& command, CommandContext& context) {
   const std::size_t count = context.arguments.size();
   if (count < command.minimumArguments || count > command.maximumArguments) {
-    return fail(context, usageError(command.words,
-                                    "it takes: " + (command.arguments.empty() ? "no arguments"
-                                                                              : command.arguments),
-                                    command.words + " "));
+    return fail(context,
+                usageError(command.words,
+                           "expected arguments: " +
+                               (command.arguments.empty() ? "no arguments" : command.arguments),
+                           command.words + " "));
   }
   return command.run(context);
 }
--- a/src/cli/run.h
+++ b/src/cli/run.h
@@ -1,4 +1,4 @@
-/// \file Finds the command that a line names and runs it.
+/// \file Parses a command line and runs its command.
 #pragma once
 
 #include <ostream>
--- a/src/cli/signing.cpp
+++ b/src/cli/signing.cpp
@@ -18,12 +18,12 @@
   const auto listed = std::find_if(
       content->operators.begin(), content->operators.end(),
       [&](const bundle::Operator& candidate) { return candidate.name == operatorName; });
-  // An operator whom this very version removes may sign it, and is not listed.
+  // An operator removed by this version may sign it and is not listed.
   if (listed != content->operators.end() && listed->publicKey != publicKey) {
-    return Error{
-        ErrorKind::InvalidField, "--key",
-        "the bundle lists another public key for \"" + operatorName + "\"",
-        "use the key of this operator, or mend /operators (its public key is " + publicKey + ")"};
+    return Error{ErrorKind::InvalidField, "--key",
+                 "the bundle lists another public key for \"" + operatorName + "\"",
+                 "use the key of this operator, or correct /operators (its public key is " +
+                     publicKey + ")"};
   }
   return Success{};
 }
--- a/src/cli/signing.h
+++ b/src/cli/signing.h
@@ -8,9 +8,9 @@
 
 namespace gorsetrail::cli {
 
-/// Adds the operator's signature, in place of an earlier one under the same name.
+/// Adds the operator's signature and replaces an earlier one under the same name.
 /// \return `InvalidField` when the key is unusable, or is not the one that the bundle itself lists
-/// under this name (the signature would count for nobody).
+/// under this name (the signature would not be valid).
 Result<Success> addSignature(bundle::SignedBundle& bundle, const std::string& operatorName,
                              const std::string& privateKeyPem);
 
--- a/tests/cli/fake_platform.h
+++ b/tests/cli/fake_platform.h
@@ -1,4 +1,4 @@
-/// \file A log and nodes behind the HTTP interface of the command, with the log's faults.
+/// \file Fake log and nodes for command tests, with injectable log failures.
 #pragma once
 
 #include <cstdlib>
@@ -14,7 +14,7 @@
 
 namespace gorsetrail::cli {
 
-/// Answers as docs/design/0001 says the platform's log does; pages hold two records.
+/// Implements the log's HTTP interface (docs/design/0001) with two records per page.
 class FakePlatform : public HttpExchange {
  public:
   Result<http::Response> send(const http::Request& request) override {
@@ -30,10 +30,11 @@
   std::vector<std::string> records;
   int appends = 0;
   bool isDown = false;
-  bool losesAnswer = false;  ///< Appends take effect, but nobody hears of it.
-  bool losesRecord = false;  ///< Appends take no effect, and nobody hears of it.
+  bool dropsResponse = false;  ///< Appends take effect, but the response is lost.
+  bool dropsRecord = false;    ///< Appends have no effect, and no response is sent.
   bool isDownAfterAppend = false;
-  std::function<void()> beforeAppend;  ///< Another operator's moment.
+  std::function<void()>
+      beforeAppend;  ///< Runs once before the next append, such as to simulate another operator.
   std::map<std::string, std::function<Result<http::Response>(const http::Request&)>> pages;
 
   static http::Response answer(unsigned status, const nlohmann::json& body) {
@@ -53,10 +54,10 @@
       std::exchange(beforeAppend, nullptr)();
     }
     isDown = isDownAfterAppend;
-    if (!losesRecord) {
+    if (!dropsRecord) {
       records.push_back(record);
     }
-    if (losesAnswer || losesRecord) {
+    if (dropsResponse || dropsRecord) {
       return noAnswer();
     }
     return answer(200, {{"offset", records.size() - 1}});
--- a/tests/cli/log_losses_test.cpp
+++ b/tests/cli/log_losses_test.cpp
@@ -1,4 +1,4 @@
-// Programs that were lost, by their first cause.
+// Checks how lost programs are counted and assigned to a cause.
 #include "cli/log_losses.h"
 
 #include <map>
@@ -25,13 +25,13 @@
   }
 };
 
-TEST(LogLosses, aProgramThatWasAnsweredInTimeIsNoLoss) {
+TEST(LogLosses, aProgramAnsweredInTimeIsNotLost) {
   read(ended(1, "p", "outcome=answered reason=\"\" took_ms=90 program_left_ms=400"));
-  LONGS_EQUAL(1, losses.programsSeen());
-  LONGS_EQUAL(0, losses.programsLost());
+  LONGS_EQUAL(1, losses.programCount());
+  LONGS_EQUAL(0, losses.lostProgramCount());
 }
 
-TEST(LogLosses, theFirstRequestThatWasNotAnsweredNamesTheCause) {
+TEST(LogLosses, theFirstUnansweredRequestGivesTheCause) {
   read(ended(5, "p", "outcome=unknown_502 reason=replica_broke_off took_ms=70") +
        ended(4, "p", "outcome=refused_503 reason=store_not_answering took_ms=1") +
        ended(3, "p", "outcome=answered reason=\"\" took_ms=90 program_left_ms=0") +
@@ -43,7 +43,7 @@
   LONGS_EQUAL(3, groups[0].tookMilliseconds);
 }
 
-TEST(LogLosses, aLateProgramIsLostToTheStepThatTookTheMostTime) {
+TEST(LogLosses, aLateProgramIsAssignedToItsLongestStep) {
   read(ended(1, "p",
              "outcome=answered reason=\"\" dispatched_ms=5 first_event_ms=900 took_ms=1000 "
              "program_left_ms=300") +
@@ -56,7 +56,7 @@
   LONGS_EQUAL(940, groups[0].tookMilliseconds);
 }
 
-TEST(LogLosses, namesRegionsAsTheCauseOfRefusalsForTheirSake) {
+TEST(LogLosses, regionRefusalsHaveTheCauseRegion) {
   read(ended(1, "p", "outcome=refused_503 reason=region_not_allowed took_ms=1") +
        ended(2, "q", "outcome=refused_403 reason=region_not_allowed_anywhere took_ms=1"));
   const auto groups = losses.groups();
@@ -65,7 +65,7 @@
   LONGS_EQUAL(2, groups[0].programs);
 }
 
-TEST(LogLosses, groupsWithTheMostProgramsComeFirstAndSecondsInOrder) {
+TEST(LogLosses, groupsAreSortedByProgramsAndSecondsByTime) {
   read(ended(9, "a", "outcome=client_gone reason=\"\" took_ms=1") +
        ended(7, "b", "outcome=refused_503 reason=replicas_busy took_ms=1") +
        ended(8, "c", "outcome=refused_503 reason=replicas_full took_ms=1"));
@@ -75,7 +75,7 @@
   LONGS_EQUAL(7, losses.seconds()[0].second);
 }
 
-TEST(LogLosses, refusedBudgetsAreToldApartByTheLineOfTheRefusal) {
+TEST(LogLosses, refusalLinesDistinguishCausesOfRefusedReservations) {
   const auto refused = [](const char* program, const char* reason) {
     return std::string("time_ms=1000 event=reservation_refused request=q program=") + program +
            " reason=" + reason + "\n" +
@@ -94,7 +94,7 @@
   LONGS_EQUAL(1, programs["store"]);
 }
 
-TEST(LogLosses, aFullReplicaBesideRoomIsNoLackOfPlaces) {
+TEST(LogLosses, aFullReplicaWithALessLoadedPeerHasItsOwnCause) {
   const auto refused = [](const char* program, const char* loads) {
     return std::string("time_ms=1000 event=placement_refused request=q program=") + program + " " +
            loads + "\n" +
@@ -108,11 +108,11 @@
     const bool isBesideRoom = group.cause == "replica_full_beside_room";
     CHECK(isBesideRoom || group.cause == "no_place_at_replicas");
     LONGS_EQUAL(isBesideRoom ? 1 : 2, group.requests);
-    LONGS_EQUAL(1, group.goingOn);
+    LONGS_EQUAL(1, group.continuedPrograms);
   }
 }
 
-TEST(LogLosses, countedRefusalsStandForTheirRequests) {
+TEST(LogLosses, countedRefusalsAddTheirNumberOfRequests) {
   read(ended(4, "p", "outcome=refused_503 reason=replicas_busy took_ms=1") +
        "time_ms=5000 event=refusals_counted of=request_ended program=p reason=replicas_busy "
        "count=40\n"
@@ -123,8 +123,8 @@
   STRCMP_EQUAL("turns", losses.groups()[0].route.c_str());
 }
 
-TEST(LogLosses, linesOfOtherEventsAndOutsideProgramsArePassedOver) {
+TEST(LogLosses, otherEventsAndLinesWithoutAProgramAreIgnored) {
   read("no log line\ntime_ms=1 event=dispatch program=p\n" +
        ended(1, "\"\"", "outcome=refused_404 reason=no_route took_ms=0"));
-  LONGS_EQUAL(0, losses.programsSeen());
+  LONGS_EQUAL(0, losses.programCount());
 }
--- a/tests/cli/log_story_test.cpp
+++ b/tests/cli/log_story_test.cpp
@@ -1,8 +1,8 @@
-// The story of a request from the logs of several nodes.
+// Checks which log lines of several nodes are collected for a request.
 #include "cli/log_story.h"
 
 #include <sstream>
-// CppUTest redefines `new`: it comes after the standard headers.
+// CppUTest redefines `new`, so it is included after the standard headers.
 #include <CppUTest/TestHarness.h>
 
 using namespace gorsetrail::cli;
@@ -30,7 +30,7 @@
   }
 };
 
-TEST(LogStory, keepsTheRequestsLinesInOrderWithWhatTheNodeBelievedThen) {
+TEST(LogStory, returnsTheRequestsLinesInOrderWithRecentStateChanges) {
   read(kLog, "a.log");
   const auto lines = story.lines();
   LONGS_EQUAL(4, lines.size());
@@ -40,13 +40,13 @@
   LONGS_EQUAL(1, story.passedOver());
 }
 
-TEST(LogStory, leavesOtherNodesBeliefsOut) {
+TEST(LogStory, excludesStateChangesOfOtherNodes) {
   read(kLog, "a.log");
   read("time_ms=2900 event=store_lost topic=members\n", "b.log");
   LONGS_EQUAL(4, story.lines().size());
 }
 
-TEST(LogStory, joinsNodes) {
+TEST(LogStory, mergesLinesOfSeveralNodes) {
   read("time_ms=3200 event=dispatch request=q1 number=1\n", "b.log");
   read(kLog, "a.log");
   const auto lines = story.lines();
@@ -54,12 +54,12 @@
   STRCMP_EQUAL("b.log", lines[4].source.c_str());
 }
 
-TEST(LogStory, tellsWhenNothingWasFound) {
+TEST(LogStory, reportsThatNoLineWasFound) {
   read("time_ms=1 event=dispatch request=other\n", "a.log");
   CHECK_FALSE(story.found());
 }
 
-TEST(LogStory, readsQuotedValuesAndACollectorsPrefix) {
+TEST(LogStory, parsesQuotedValuesAndACollectorPrefix) {
   const auto line =
       parseLogLine("  10.7659 edge-b-3 time_ms=5 event=x reason=\"a \\\"b\\\" c\" empty=\"\" n=3");
   STRCMP_EQUAL("edge-b-3", line->source.c_str());
