--- a/src/cli/log_losses.h
+++ b/src/cli/log_losses.h
@@ -17,10 +17,9 @@
   std::string cause;  ///< Stable snake_case name, see `docs/OPERATIONS.md`.
   std::string route;
   std::uint64_t programs = 0;
-  std::uint64_t continuedPrograms =
-      0;                       ///< Of these, lost at a request that continues a previous turn.
-  std::uint64_t requests = 0;  ///< Requests of these programs with this cause.
-  std::uint64_t tookMilliseconds = 0;  ///< Total duration of those requests.
+  std::uint64_t continuedPrograms = 0;  ///< Of these, lost while continuing a turn.
+  std::uint64_t requests = 0;           ///< Requests of these programs with this cause.
+  std::uint64_t tookMilliseconds = 0;   ///< Total duration of those requests.
 };
 
 /// Number of programs lost for one cause within one second.
--- a/src/cli/node_commands.cpp
+++ b/src/cli/node_commands.cpp
@@ -37,7 +37,7 @@
     return Error{
         ErrorKind::PlatformUnavailable, address,
         "status " + std::to_string(valueOf(response).status) + " instead of a node's status object",
-        "check that --nodes names the caller side of nodes"};
+        "check that --nodes gives caller-facing addresses of nodes"};
   }
   return status;
 }
--- a/src/cli/options.cpp
+++ b/src/cli/options.cpp
@@ -14,12 +14,12 @@
 DEFINE_string(key, "", "PEM file of the operator's private key");
 DEFINE_string(log, "", "ip:port of the platform's log");
 DEFINE_string(name, "", "the operator's name");
-DEFINE_string(nodes, "", "ip:port,... of nodes, caller side");
+DEFINE_string(nodes, "", "caller-facing ip:port of nodes, separated by commas");
 DEFINE_string(out, "", "file to write");
 DEFINE_string(settings, "", "JSON file with the keys site and trust, such as a node's settings");
 DEFINE_string(site, "", "site of a first bundle");
 DEFINE_string(tenant, "", "tenant of the program");
-DEFINE_uint32(timeout_s, 10, "seconds for one request, and for waiting in whole");
+DEFINE_uint32(timeout_s, 10, "time limit of one request and of a whole wait, in seconds");
 DEFINE_uint64(wait_version, 0, "wait until every node has at least this version in force");
 DEFINE_string(zone, "", "home zone of the program");
 
--- a/src/cli/options.h
+++ b/src/cli/options.h
@@ -21,7 +21,7 @@
   std::string key;                     ///< PEM file of the private key.
   std::string log;                     ///< `ip:port` of the platform's log.
   std::string name;                    ///< Operator's name.
-  std::vector<std::string> nodes;      ///< `ip:port` of the nodes' client listeners.
+  std::vector<std::string> nodes;      ///< Caller-facing `ip:port` of nodes.
   std::string out;                     ///< File to write.
   std::string settings;                ///< JSON file with `site` and `trust`.
   std::string site;                    ///< Site of a first bundle.
--- a/src/cli/publisher.h
+++ b/src/cli/publisher.h
@@ -23,8 +23,8 @@
 };
 
 /// Appends an envelope unless the log already has it or the nodes would refuse it. The response to
-/// an append can be lost after it took effect, so the log is then read until the record appears or
-/// the reads are used up; the append is never retried.
+/// an append can be lost after it took effect, so the log is then read until the record appears,
+/// for a limited number of reads; the append is never retried.
 class Publisher {
  public:
   Publisher(BundleLog& log, BundleHistory& history, Pause pause)
@@ -35,7 +35,8 @@
 
   /// \return the record once the log shows it as accepted, or `BundleConflict` (names the accepted
   /// version), `InvalidSignature`, `InvalidBundle`, `PlatformUnavailable` (nothing was appended),
-  /// or `OutcomeNotKnown` (it may still be appended; publishing the same file again is safe).
+  /// or `OutcomeNotKnown` (it may still be appended; publishing the same
+  /// file again checks the log first).
   Result<Publication> publish(const std::string& envelope);
 
  private:
