--- a/src/ledger/budget_lease_table.h
+++ b/src/ledger/budget_lease_table.h
@@ -15,7 +15,7 @@
 
 namespace gorsetrail::ledger {
 
-/// The fractions of a program's budget that a lease holder may spend before it records the
+/// The fractions (0 to 1) of a program's budget that a lease holder may spend before it records the
 /// reservations.
 struct LeaseShares {
   double share = 0.0;
@@ -24,7 +24,8 @@
 };
 
 /// Limits and times of budget leases. All nodes must use the same shares and times: what a holder
-/// may spend is what the other nodes count against the budget. Note 0011 has the arithmetic.
+/// may spend is what the other nodes count against the budget. docs/design/0011-budget-leases.md
+/// derives the values.
 struct BudgetLeaseKnobs {
   bool enabled = true;
   LeaseShares primary{0.45, 0.7};
@@ -75,7 +76,7 @@
 
   /// \param ownLease this node's lease, which is not counted because its spending is known; empty:
   /// none.
-  /// \param hasTimeLeft whether the program's declared time has not run out.
+  /// \param hasTimeLeft whether the program declared its remaining time and is not overdue.
   /// \param below all spending recorded below this offset is counted elsewhere: `kMaxOffset`, or
   /// for a reservation the offset of its own record. A lease that was cleared at or after `below`
   /// still counts, because the grants recorded between the reservation and the end of the lease
--- a/src/ledger/budget_partition.cpp
+++ b/src/ledger/budget_partition.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration kRecordTimeLimit = milliseconds(1500);
-/// \return whether the program's declared time has not run out.
+/// \return whether the program declared its remaining time and is not overdue.
 bool hasTimeLeft(const BudgetRequest& request) {
   return request.programTimeLeft && *request.programTimeLeft > Duration::zero();
 }
--- a/src/ledger/budget_partition.h
+++ b/src/ledger/budget_partition.h
@@ -21,14 +21,18 @@
 
 namespace gorsetrail::ledger {
 
+/// Settings of `BudgetPartition`.
 struct BudgetPartitionKnobs {
   BudgetLeaseKnobs leases;
   std::string holder;       ///< Address of this node, the same after a restart.
   std::string incarnation;  ///< Unique to this process. Empty: it never holds a lease.
+  /// How long the record of a reservation or a lease waits for others to share its append.
   Duration reservationWindow = milliseconds(20);
+  /// Likewise for a settlement's record.
   Duration settlementWindow = milliseconds(300);
   /// Grants under the lease are recorded in batches at this interval.
   Duration recordingInterval = milliseconds(300);
+  /// Accounts without a record for this long are removed by `sweep`.
   Duration accountRetention = seconds(300);
   /// Called when this process's lease of the partition is acquired, changes its slot or is dropped.
   std::function<void(const logstore::PartitionAddress&, const BudgetLease&)> onOwnLease;
@@ -41,6 +45,7 @@
   /// Reservations granted under a secondary lease before being recorded.
   std::uint64_t grantedUnderSecondaryLease = 0;
   std::uint64_t grantedByLog = 0;
+  /// Refused because the recorded spending leaves too little of the budget.
   std::uint64_t spent = 0;
   /// Refused only because a lease of another node may have spent tokens without a record.
   std::uint64_t uncertain = 0;
@@ -64,7 +69,7 @@
  public:
   using ReservationReplyCallback = std::function<void(ReservationReply)>;
 
-  /// \param store, timers outlive this object.
+  /// \param store, timers must outlive this object.
   BudgetPartition(logstore::PersistentStore& store, services::TimerService& timers,
                   logstore::ClockFunction clock, logstore::PartitionAddress address,
                   BudgetPartitionKnobs knobs);
@@ -73,6 +78,7 @@
   /// reservation that does not fit stays in the log; the caller settles it with zero tokens unless
   /// another coordinator has granted it.
   void reserve(const BudgetRequest& request, Duration timeLimit, ReservationReplyCallback callback);
+  /// Returns the unused part of a reservation; the record is appended later.
   void settle(const BudgetSettlement& settlement);
 
   /// \return tokens used or reserved by all known requests of the program.
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -42,10 +42,13 @@
 
 /// Whether reservations of a budget partition are expected to be decided.
 enum class ReservationOutlook : std::uint8_t {
-  Likely,    ///< No recent failure.
-  Doubtful,  ///< The last one failed, or the store does not answer this node. The coordinator's
-             ///< lease may still decide.
-  Unlikely,  ///< Several failed recently; the coordinator's lease may still decide.
+  /// No recent failure.
+  Likely,
+  /// The last one failed, or the store does not answer this node. The coordinator's lease may still
+  /// decide.
+  Doubtful,
+  /// Several failed recently; the coordinator's lease may still decide.
+  Unlikely,
 };
 
 /// Zones that may store a turn, nearest first; empty: no restriction.
@@ -86,6 +89,7 @@
   virtual void findHistory(const TurnName& turn, HistoryCallback callback) = 0;
   /// Stores a turn durably: after success every node can find it.
   virtual void storeTurn(TurnToStore turn, Duration timeLimit, StoredCallback callback) = 0;
+  /// Reserves tokens of a program's budget; see `ReservationReply`.
   virtual void reserve(const BudgetRequest& request, Duration timeLimit,
                        ReservationCallback callback) = 0;
   /// Returns the unused part of a reservation. Returns immediately; the record is appended later.
--- a/src/ledger/partition_reader.cpp
+++ b/src/ledger/partition_reader.cpp
@@ -16,12 +16,12 @@
     : store_(store), address_(std::move(address)) {}
 
 void PartitionReader::readToEnd(ReadCallback callback) {
-  waiting_.push_back({std::nullopt, std::move(callback)});
+  nextPassWaiters_.push_back({std::nullopt, std::move(callback)});
   startPass();
 }
 
 void PartitionReader::readBelow(std::uint64_t offset, ReadCallback callback) {
-  waiting_.push_back({offset, std::move(callback)});
+  nextPassWaiters_.push_back({offset, std::move(callback)});
   startPass();
 }
 
@@ -45,10 +45,10 @@
   }
   inPass_ = true;
   completeSatisfiedWaiters();
-  served_ = std::move(waiting_);
-  waiting_.clear();
+  currentPassWaiters_ = std::move(nextPassWaiters_);
+  nextPassWaiters_.clear();
   passEnd_.reset();
-  if (served_.empty()) {
+  if (currentPassWaiters_.empty()) {
     inPass_ = false;
   } else {
     readNext();
@@ -60,10 +60,11 @@
   const auto isReady = [this](const Waiter& waiter) {
     return waiter.below && *waiter.below <= position_;
   };
-  const auto firstReady = std::stable_partition(
-      waiting_.begin(), waiting_.end(), [&](const Waiter& waiter) { return !isReady(waiter); });
-  std::move(firstReady, waiting_.end(), std::back_inserter(ready));
-  waiting_.erase(firstReady, waiting_.end());
+  const auto firstReady =
+      std::stable_partition(nextPassWaiters_.begin(), nextPassWaiters_.end(),
+                            [&](const Waiter& waiter) { return !isReady(waiter); });
+  std::move(firstReady, nextPassWaiters_.end(), std::back_inserter(ready));
+  nextPassWaiters_.erase(firstReady, nextPassWaiters_.end());
   for (const Waiter& waiter : ready) {
     waiter.callback(Success{});
   }
@@ -117,8 +118,8 @@
 }
 
 void PartitionReader::endPass(const logstore::StoreResult<Success>& result) {
-  const std::vector<Waiter> served = std::move(served_);
-  served_.clear();
+  const std::vector<Waiter> served = std::move(currentPassWaiters_);
+  currentPassWaiters_.clear();
   for (const Waiter& waiter : served) {
     waiter.callback(result);
   }
@@ -127,7 +128,7 @@
     rewound_.reset();
   }
   inPass_ = false;
-  if (!waiting_.empty()) {
+  if (!nextPassWaiters_.empty()) {
     startPass();
   }
 }
--- a/src/ledger/partition_reader.h
+++ b/src/ledger/partition_reader.h
@@ -61,8 +61,8 @@
   bool inPass_ = false;
   std::optional<std::uint64_t> passEnd_;
   std::uint64_t readStart_ = 0;
-  std::vector<Waiter> served_;   ///< By the current pass.
-  std::vector<Waiter> waiting_;  ///< For the next pass.
+  std::vector<Waiter> currentPassWaiters_;  ///< By the current pass.
+  std::vector<Waiter> nextPassWaiters_;     ///< For the next pass.
 };
 
 }  // namespace gorsetrail::ledger
--- a/src/ledger/program_ledger.h
+++ b/src/ledger/program_ledger.h
@@ -41,6 +41,8 @@
   BudgetPartitionKnobs budgets;
 };
 
+/// Implements `Ledger` by appending to the partitions of the log and reading them, with a cache of
+/// turns. Serves as the coordinator's ledger behind `LedgerService`.
 class ProgramLedger final : public Ledger {
  public:
   using TurnCallback = std::function<void(TurnAnswer)>;
--- a/src/ledger/rendezvous_selector.h
+++ b/src/ledger/rendezvous_selector.h
@@ -39,8 +39,10 @@
                                                      const std::string& zone,
                                                      const std::vector<NodeCandidate>& candidates,
                                                      Instant now) const;
+  /// Ranks the node last for `suspicionTime` from now on.
   void suspect(const std::string& address, Instant now);
-  /// Clears the suspicion after a reply. \return whether the node was suspected.
+  /// Clears the suspicion after a reply.
+  /// \return whether the node was suspected.
   bool clearSuspicion(const std::string& address) { return suspectUntil_.erase(address) > 0; }
   [[nodiscard]] bool isSuspect(const std::string& address, Instant now) const;
 
--- a/src/ledger/reservation.h
+++ b/src/ledger/reservation.h
@@ -19,8 +19,8 @@
 /// Why a reservation is `Unavailable`. The numbers are part of the wire format.
 enum class UndecidedReason : std::uint8_t {
   Unknown = 0,  ///< The replying node runs an older version that does not report it.
-  UnseenSpending =
-      1,  ///< It would fit, but the rest may have been spent under leases of other nodes.
+  /// It would fit, but the rest may have been spent under leases of other nodes.
+  UnseenSpending = 1,
   DecidedTooLate = 2,     ///< The program's remaining time was received too long ago.
   NoLease = 3,            ///< No lease is held, and the store does not answer.
   LeaseInsufficient = 4,  ///< The lease does not cover the turn, and the store does not answer.
@@ -40,6 +40,7 @@
 /// \return the stable name of the leases for log lines.
 std::string_view unrecordedSpendingName(UnrecordedSpending spending);
 
+/// Reply to a reservation, with the tokens that were counted against the budget.
 struct ReservationReply {
   ReservationOutcome outcome = ReservationOutcome::Unavailable;
   /// Used or reserved by the program, including a granted reservation.
--- a/src/ledger/turn_cache.h
+++ b/src/ledger/turn_cache.h
@@ -30,7 +30,8 @@
   /// Adds a turn, evicting others if necessary. The newest turn is kept even if it alone exceeds
   /// the size.
   void insert(CompletedTurn turn, TurnPosition position);
-  /// Adds a turn only if it fits. \return whether the turn is cached now.
+  /// Adds a turn only if it fits.
+  /// \return whether the turn is cached now.
   bool insertIfRoom(CompletedTurn turn, TurnPosition position);
   /// \return the turn, or null; valid until the next `insert`.
   const CompletedTurn* find(const std::string& request);
--- a/src/membership/membership_interface.h
+++ b/src/membership/membership_interface.h
@@ -41,7 +41,7 @@
   std::uint32_t refutation = 0;  ///< Raised by the node itself to refute a suspicion.
 };
 
-/// Says whether a back end is draining; the higher `version` wins.
+/// Reports whether a back end is draining; the higher `version` wins.
 struct BackendNotice {
   std::uint32_t backendHash = 0;  ///< First 32 bits of the digest of the back end's name.
   bool leaving = false;
@@ -59,7 +59,7 @@
 inline constexpr std::size_t kMaximumNotices = 8;
 
 struct ProbeRequest {
-  std::uint32_t probe = 0;
+  std::uint32_t probe = 0;  ///< Id of the probe; echoed by the reply.
   Piggyback piggyback;
 };
 struct ProbeReply {
--- a/src/membership/membership_service.h
+++ b/src/membership/membership_service.h
@@ -84,7 +84,8 @@
   /// Removes a node; its table index is reused by the next one that is added.
   virtual void removeMember(NodeId node) = 0;
   virtual void onMembershipMessage(NodeId from, const MembershipMessage& message, Instant now) = 0;
-  virtual void onMachineList(const std::vector<MachineListEntry>& lines, Instant now) = 0;
+  virtual void onMachineList(const std::vector<MachineListEntry>& entries, Instant now) = 0;
+  /// Sends due probes and handles expired timeouts. Call it periodically.
   virtual void onTick(Instant now) = 0;
   /// Disseminates that a back end is draining (`leaving`) or available again.
   virtual void announceBackend(std::uint32_t backendHash, bool leaving, Instant now) = 0;
@@ -95,6 +96,7 @@
   [[nodiscard]] virtual bool knows(NodeId node) const = 0;
   /// \return the node's last known state; `Dead` for an unknown node.
   [[nodiscard]] virtual MemberState stateOf(NodeId node) const = 0;
+  /// \return the node's last known incarnation; 0 for an unknown node.
   [[nodiscard]] virtual Incarnation incarnationOf(NodeId node) const = 0;
   [[nodiscard]] virtual const std::vector<Member>& members() const = 0;
   /// \return the commands collected since the last call, in order.
--- a/src/membership/swim_membership.cpp
+++ b/src/membership/swim_membership.cpp
@@ -98,7 +98,7 @@
     // Suspected members could not refute while this node received no messages.
     extendSuspicions(knobs_.suspicionTimeout);
   }
-  lastHeardAt_ = now;
+  lastReceivedAt_ = now;
   std::visit([&](const auto& content) { handle(from, content, now); }, message);
 }
 
@@ -144,22 +144,23 @@
   sendProbe(*target, probe);
 }
 
-void SwimMembership::onMachineList(const std::vector<MachineListEntry>& lines, Instant now) {
-  for (const MachineListEntry& line : lines) {
-    const std::optional<MemberIndex> index = table_.find(line.node);
-    if (!index || line.incarnation < table_.updateAt(*index).incarnation) {
+void SwimMembership::onMachineList(const std::vector<MachineListEntry>& entries, Instant now) {
+  for (const MachineListEntry& entry : entries) {
+    const std::optional<MemberIndex> index = table_.find(entry.node);
+    if (!index || entry.incarnation < table_.updateAt(*index).incarnation) {
       continue;
     }
     const MemberUpdate current = table_.updateAt(*index);
-    const bool isSameIncarnation = current.incarnation == line.incarnation;
+    const bool isSameIncarnation = current.incarnation == entry.incarnation;
     // The list may be stale: for a known incarnation only `Leaving` and `Terminated` are accepted.
-    if (isSameIncarnation && line.state != MemberState::Terminated &&
-        line.state != MemberState::Leaving) {
+    if (isSameIncarnation && entry.state != MemberState::Terminated &&
+        entry.state != MemberState::Leaving) {
       continue;
     }
     applyUpdate(
         *index,
-        {line.node, line.incarnation, line.state, isSameIncarnation ? current.refutation : 0}, now);
+        {entry.node, entry.incarnation, entry.state, isSameIncarnation ? current.refutation : 0},
+        now);
   }
 }
 
@@ -167,7 +168,7 @@
   if (!started_) {
     started_ = true;
     lastTick_ = now;
-    lastHeardAt_ = now;
+    lastReceivedAt_ = now;
     // A random initial delay prevents nodes that start together from probing in step.
     nextPeriodAt_ = now + Duration(static_cast<Duration::rep>(random_.below(
                               static_cast<std::uint64_t>(knobs_.probePeriod.count()))));
@@ -225,7 +226,7 @@
 
 /// \return whether no message arrived for so long that this node's own links have probably failed.
 bool SwimMembership::isIsolated(Instant now) const {
-  return now - lastHeardAt_ >= knobs_.isolationTimeout;
+  return now - lastReceivedAt_ >= knobs_.isolationTimeout;
 }
 
 void SwimMembership::probeSuspects(Instant now) {
--- a/src/membership/swim_membership.h
+++ b/src/membership/swim_membership.h
@@ -23,7 +23,7 @@
   bool addMember(Member member) override;
   void removeMember(NodeId node) override;
   void onMembershipMessage(NodeId from, const MembershipMessage& message, Instant now) override;
-  void onMachineList(const std::vector<MachineListEntry>& lines, Instant now) override;
+  void onMachineList(const std::vector<MachineListEntry>& entries, Instant now) override;
   void onTick(Instant now) override;
   void announceBackend(std::uint32_t backendHash, bool leaving, Instant now) override;
   void setActiveBundleVersion(BundleVersion version) override;
@@ -121,7 +121,7 @@
   std::vector<RelayedProbe> relayedProbes_;
   std::vector<MemberIndex> freeIndices_;  ///< Indices of removed members.
   bool started_ = false;
-  Instant lastHeardAt_;  ///< Time of the last message from any node.
+  Instant lastReceivedAt_;  ///< Time of the last message from any node.
   Instant lastTick_;
   Instant nextPeriodAt_;
   std::vector<MembershipCommand> commands_;
--- a/src/quota/quota_coordinator.cpp
+++ b/src/quota/quota_coordinator.cpp
@@ -100,7 +100,7 @@
   }
 }
 
-void QuotaCoordinator::resign() {
+void QuotaCoordinator::endCoordination() {
   if (!mayCoordinate_) {
     return;
   }
@@ -165,7 +165,7 @@
 
 bool QuotaCoordinator::hasYielded(std::uint32_t partition) const {
   const auto found = yields_.find(partition);
-  return found != yields_.end() && clock_() - found->second.lastHeardAt < knobs_.yieldTimeout;
+  return found != yields_.end() && clock_() - found->second.lastRequestAt < knobs_.yieldTimeout;
 }
 
 void QuotaCoordinator::onCompetitorRelease(const std::string& from, std::uint32_t partition) {
--- a/src/quota/quota_coordinator.h
+++ b/src/quota/quota_coordinator.h
@@ -24,8 +24,8 @@
   /// Sends a message to a node, possibly this one.
   using Send = std::function<void(const std::string& to, const QuotaMessage& message)>;
 
-  /// \param fleet and \param random must outlive this object. \param incarnation differs between
-  /// processes.
+  /// \param fleet, random must outlive this object.
+  /// \param incarnation differs between processes.
   QuotaCoordinator(QuotaFleetView& fleet, const QuotaKnobs& knobs, std::string ownAddress,
                    std::uint64_t incarnation, std::function<Instant()> clock, RandomSource& random,
                    Send send);
@@ -45,7 +45,7 @@
   /// Sends due lease requests and repeated releases.
   void onTick();
   /// Hands over and releases all partitions before a planned shutdown. Grants nothing afterwards.
-  void resign();
+  void endCoordination();
   [[nodiscard]] std::uint64_t tokenReplies() const { return tokenReplies_; }
 
  private:
@@ -67,7 +67,7 @@
   /// A competing coordinator that this node leaves a partition to.
   struct Yield {
     std::string competitor;
-    Instant lastHeardAt;
+    Instant lastRequestAt;
   };
 
   void requestLeasesIfDue(std::uint32_t partition);
@@ -88,7 +88,7 @@
   RandomSource& random_;
   Send send_;
   std::map<std::uint32_t, PartitionState> partitionStates_;
-  bool mayCoordinate_ = true;              ///< False after `resign`.
+  bool mayCoordinate_ = true;              ///< False after `endCoordination`.
   std::map<std::uint32_t, Yield> yields_;  ///< By partition.
   std::vector<PendingRelease> pendingReleases_;
   std::uint64_t tokenReplies_ = 0;
--- a/src/quota/quota_pool.h
+++ b/src/quota/quota_pool.h
@@ -63,7 +63,8 @@
   std::unordered_map<std::string, Account> accounts_;
   /// When each message of a hand-over was imported, by incarnation and part.
   std::map<std::pair<std::uint64_t, std::uint32_t>, Instant> importedParts_;
-  /// When the last hand-over began to arrive; reset by the first lease after its lifetime.
+  /// When the last hand-over began to arrive. Reset by the first lease that is added after the
+  /// hand-over has expired.
   std::optional<Instant> importedAt_;
 };
 
--- a/src/quota/quota_service.h
+++ b/src/quota/quota_service.h
@@ -42,7 +42,8 @@
 /// suspended cannot spend it late.
 class QuotaService final : public QuotaAdmission {
  public:
-  /// \param fleet must outlive this object. \param incarnation differs between processes.
+  /// \param fleet must outlive this object.
+  /// \param incarnation differs between processes.
   QuotaService(QuotaFleetView& fleet, const QuotaKnobs& knobs, std::string ownAddress,
                std::uint64_t incarnation, std::function<Instant()> clock);
 
@@ -54,7 +55,7 @@
   void onTick();
   /// Stops coordinating before a planned shutdown; nodes may lease their shares to another
   /// coordinator.
-  void endCoordination() { coordinator_.resign(); }
+  void endCoordination() { coordinator_.endCoordination(); }
   /// \return whether requests are waiting for tokens.
   [[nodiscard]] bool hasWaitingRequests() const { return waitingCount_ > 0; }
   [[nodiscard]] QuotaCounters counters() const {
--- a/src/routing/cold_replica_rule.cpp
+++ b/src/routing/cold_replica_rule.cpp
@@ -227,7 +227,8 @@
     return isAllowed ? std::optional(grant) : std::nullopt;
   };
   if (!isStateKnown(now)) {
-    if (isResponsive(replica, now) && sentInSlot(replica, slotOf(now)) < knobs_.trustedPerSlot) {
+    if (isResponsive(replica, now) &&
+        sentInSlot(replica, slotOf(now)) < knobs_.responsiveRequestsPerSlot) {
       return ColdGrant::Responsive;
     }
     return grantIf(maySendInUnknownState(replica, now), ColdGrant::UnknownState);
--- a/src/routing/cold_replica_rule.h
+++ b/src/routing/cold_replica_rule.h
@@ -19,9 +19,10 @@
 
 /// How a cold replica's rate limit is divided among nodes.
 enum class ColdSharing : std::uint8_t {
-  DesignatedSenders,  ///< Among a few designated senders, each with a token bucket; nodes agree on
-                      ///< them.
-  StaticShares,       ///< Among all nodes: each may send in pseudo-random time slots.
+  /// Among a few designated senders, each with a token bucket; nodes agree on them.
+  DesignatedSenders,
+  /// Among all nodes: each may send in pseudo-random time slots.
+  StaticShares,
 };
 
 /// Why a request to a replica that may be cold is admitted.
@@ -69,8 +70,9 @@
   /// Maximum difference of two nodes' member lists, as a fraction of the hash ring. Nodes read the
   /// lists within seconds of each other, and ended members stay listed for minutes.
   double maxMemberListDifference = 0.25;
-  /// Fraction of the limit per `slot`, for all nodes together, with `ColdSharing::StaticShares`.
-  /// One second overlaps at most three slots of a node, which leaves room for random variation.
+  /// Fraction of the limit (0 to 1) per `slot`, for all nodes together, with
+  /// `ColdSharing::StaticShares`. One second overlaps at most three slots of a node, which leaves
+  /// room for random variation.
   double staticShare = 0.12;
   /// Length of a slot. Unused allowance does not carry over to the next slot.
   Duration slot = milliseconds(500);
@@ -82,7 +84,7 @@
   Duration responsiveWithin = seconds(2);
   /// Requests per slot to a responsive replica, for each node in unknown state, so that running
   /// programs keep their replica.
-  std::uint32_t trustedPerSlot = 1;
+  std::uint32_t responsiveRequestsPerSlot = 1;
   /// Shorter than the interval in which a sender usually gains a token.
   Duration retryAfter = milliseconds(150);
 };
@@ -132,7 +134,8 @@
   /// requests, since some of them may have reached the new process.
   void onLifeEnded(const std::string& id);
   /// Handles the first complete listing of evacuated zones after a start or an outage of the store.
-  /// A zone may have returned just before, so the state stays unknown until newer registrations.
+  /// A zone may have returned just before, so the state stays unknown until newer registrations
+  /// have been read.
   void onEvacuationsListed(Instant now);
   /// All evacuation records written before `askedAt` have been read.
   void onEvacuationsFresh(Instant askedAt);
@@ -142,7 +145,8 @@
   /// registrations report their current state.
   void onZoneReturned(const std::string& zone, Instant now);
   /// Updates the state of all replicas. Must be called several times a second and when services
-  /// change. \return the changes since the last call.
+  /// change.
+  /// \return the changes since the last call.
   std::vector<ColdReplicaChange> updateColdStates(const std::vector<ReplicaPtr>& replicas,
                                                   Instant now);
 
--- a/src/routing/evacuation.h
+++ b/src/routing/evacuation.h
@@ -15,12 +15,15 @@
 /// survives a restart: until the first complete listing it is unknown which zones are evacuated.
 class EvacuationTable {
  public:
-  /// Handles a created record. \return whether the zone is newly evacuated.
+  /// Handles a created record.
+  /// \return whether the zone is newly evacuated.
   bool onEvacuated(const std::string& zone, Instant now);
-  /// Handles a removed record. \return whether the zone was evacuated before.
+  /// Handles a removed record.
+  /// \return whether the zone was evacuated before.
   bool onTakenBack(const std::string& zone);
   /// Replaces the table by a complete listing, which also ends evacuations whose removal was lost
-  /// with truncated history. \return the zones that are no longer evacuated.
+  /// with truncated history.
+  /// \return the zones that are no longer evacuated.
   std::vector<std::string> onListed(const std::vector<std::string>& zones);
 
   [[nodiscard]] bool isKnown() const { return isListingRead_; }
--- a/src/routing/placement_rule.h
+++ b/src/routing/placement_rule.h
@@ -52,7 +52,7 @@
   }
   /// Called once per placement for each replica that this rule excluded.
   virtual void onExcluded(const Replica& /*replica*/) {}
-  /// \return the retry delay to tell the client if only this rule prevented the placement.
+  /// \return the retry delay to send to the client if only this rule prevented the placement.
   [[nodiscard]] virtual Duration retryAfter(ExclusionReason reason) const = 0;
 };
 
--- a/src/routing/region_policy.cpp
+++ b/src/routing/region_policy.cpp
@@ -88,7 +88,7 @@
   }
   const auto found = places_.find(
       {routeLimits ? keyOf(route) : std::string(), tenantLimits ? tenant->name : std::string()});
-  return found == places_.end() ? &nowhere_ : &found->second;
+  return found == places_.end() ? &noAllowedPlaces_ : &found->second;
 }
 
 const RegionSet* RegionPolicy::regionsOfHost(std::string_view host) const {
--- a/src/routing/region_policy.h
+++ b/src/routing/region_policy.h
@@ -26,10 +26,10 @@
 /// its route and its tenant.
 class RegionPolicy {
  public:
-  /// \param zone of this node.
   /// Errors: `InvalidBundle` if a route or a tenant names an unknown region. The whole
   /// configuration is rejected, because dropping the name could leave an empty list, which allows
   /// every region.
+  /// \param zone of this node.
   static Result<RegionPolicy> make(const Configuration& configuration, const ZoneTable& zones,
                                    std::string_view zone);
 
@@ -47,7 +47,7 @@
   /// Keyed by route (host and path) and tenant; each part is empty if it sets no limit.
   std::map<std::pair<std::string, std::string>, AllowedPlaces> places_;
   /// Returned for unknown routes and tenants with a limit: excludes all replicas.
-  AllowedPlaces nowhere_;
+  AllowedPlaces noAllowedPlaces_;
   std::map<std::string, RegionSet, std::less<>> byHost_;
 };
 
--- a/src/routing/replica_incarnation.h
+++ b/src/routing/replica_incarnation.h
@@ -40,6 +40,7 @@
 inline constexpr Duration kMaxClockLead = seconds(60);
 
 /// \param unixMilliseconds this node's wall-clock time.
+/// \return whether the start is at most `kMaxClockLead` ahead of that time.
 [[nodiscard]] bool isPlausible(ReplicaStart start, std::uint64_t unixMilliseconds);
 
 /// \param unixMilliseconds this node's wall-clock time at `now`.
--- a/src/routing/replica_placement.h
+++ b/src/routing/replica_placement.h
@@ -58,11 +58,13 @@
   [[nodiscard]] std::optional<ExclusionReason> exclusionOf(const Replica& replica,
                                                            const PlacementSubject& subject,
                                                            Instant now) const;
-  /// \return another replica, of any service, from which this node heard most recently; null if
-  /// there is none. If it cannot be reached either, this node's own network link has failed.
+  /// \return another replica, of any service: the one that most recently responded to this node;
+  /// null if there is none. If it cannot be reached either, this node's own network link has
+  /// failed.
   [[nodiscard]] ReplicaPtr witnessFor(const Replica& replica) const;
   /// Must be called for each request that is sent to a replica, including retries and resumed
-  /// streams. \return the name of the rate limit that admitted it, for a log line; empty: none.
+  /// streams.
+  /// \return the name of the rate limit that admitted it, for a log line; empty: none.
   std::string_view onSent(const Replica& replica, Instant now);
 
  private:
@@ -74,7 +76,8 @@
   [[nodiscard]] std::optional<Exclusion> findExclusion(const Replica& replica,
                                                        const PlacementSubject& subject,
                                                        Instant now) const;
-  /// \param allowed replicas that the rules allow. \return a replica for a request that the
+  /// \param allowed replicas that the rules allow.
+  /// \return a replica for a request that the
   /// cheapest replica did not admit; null if there is none.
   [[nodiscard]] ReplicaPtr chooseOverflowReplica(const PlacementQuery& query,
                                                  const std::vector<const Replica*>& allowed,
--- a/src/routing/replica_table.cpp
+++ b/src/routing/replica_table.cpp
@@ -23,7 +23,7 @@
     return ReplicaChange::Outdated;
   }
   if (order == IncarnationOrder::Later) {
-    return startAgain(std::move(entry), beganAt);
+    return startNextIncarnation(std::move(entry), beganAt);
   }
   const bool startUntold = known && !entry.startedAt;
   if (startUntold) {
@@ -50,7 +50,7 @@
   return replica;
 }
 
-ReplicaChange ReplicaTable::startAgain(ReplicaEntry entry, Instant beganAt) {
+ReplicaChange ReplicaTable::startNextIncarnation(ReplicaEntry entry, Instant beganAt) {
   remove(entry.id);
   ReplicaPtr earlier;
   if (const DepartedReplicas::Departed* const departed = departed_.find(entry.id)) {
--- a/src/routing/replica_table.h
+++ b/src/routing/replica_table.h
@@ -102,7 +102,8 @@
   ReplicaChange remove(std::string_view id);
   /// Keeps a lapsed registration as a last resort until `until`; removes a draining one at once.
   ReplicaChange markLapsed(std::string_view id, Instant until);
-  /// Removes lapsed registrations whose grace period has ended. \return the removed ids.
+  /// Removes lapsed registrations whose grace period has ended.
+  /// \return the removed ids.
   std::vector<std::string> removeLapsed(Instant now);
   /// \return the registered ids that are not in `ids`.
   [[nodiscard]] std::vector<std::string> missingFrom(const std::vector<std::string>& ids) const;
@@ -120,7 +121,7 @@
   /// \return the last known process start of the id, even if it is no longer registered.
   [[nodiscard]] std::optional<ReplicaStart> knownStartOf(const std::string& id) const;
   ReplicaPtr add(ReplicaEntry entry);
-  ReplicaChange startAgain(ReplicaEntry entry, Instant beganAt);
+  ReplicaChange startNextIncarnation(ReplicaEntry entry, Instant beganAt);
   ReplicaChange update(const ReplicaPtr& replica, ReplicaEntry entry);
   void dropFromService(const ReplicaPtr& replica);
 
--- a/src/routing/route_table.h
+++ b/src/routing/route_table.h
@@ -41,7 +41,8 @@
   /// \param seed for the initial phase of each route's rotation; must differ between nodes.
   explicit RouteTable(std::uint64_t seed = 0) : random_(seed) {}
 
-  /// Activates a configuration. \return false if it is not newer than the active one.
+  /// Activates a configuration.
+  /// \return false if it is not newer than the active one.
   bool apply(ConfigurationPtr configuration);
 
   /// \return the active configuration; null before the first one.
--- a/src/tenant/authentication.h
+++ b/src/tenant/authentication.h
@@ -20,6 +20,7 @@
 struct AuthenticationUncertain {};
 using Authentication = std::variant<Authenticated, Unauthenticated, AuthenticationUncertain>;
 
+/// Decides whether a request may be served, by its API key.
 /// \param directory null if the configuration requires no keys.
 /// \param key empty if the request carries none or several.
 /// \param isExempt whether the route serves requests without a key.
--- a/tests/ledger/budget_partition_test.cpp
+++ b/tests/ledger/budget_partition_test.cpp
@@ -77,7 +77,7 @@
   CHECK_TRUE(replied);
 }
 
-TEST(BudgetPartition, aHomeWithALeaseGoesOnWhileTheStoreIsDown) {
+TEST(BudgetPartition, coordinatorWithALeaseGrantsDuringAStoreOutage) {
   BudgetNode& node = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Busy;
   CHECK(spend(node, "r1", 200) == ReservationOutcome::Granted);
@@ -93,7 +93,7 @@
   LONGS_EQUAL(360, node.partition.tokensUsedBy("program"));
 }
 
-TEST(BudgetPartition, nextCoordinatorReadsGrantsRecordedAfterTheFact) {
+TEST(BudgetPartition, nextCoordinatorReadsGrantsRecordedAfterAnOutage) {
   BudgetNode& node = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Busy;
   spend(node, "r1", 200);
@@ -107,7 +107,7 @@
   LONGS_EQUAL(180, next.partition.tokensUsedBy("program"));
 }
 
-TEST(BudgetPartition, aProgramThatLoopsInAnOutageGetsNoMoreThanTheLeasesShare) {
+TEST(BudgetPartition, loopingProgramGetsAtMostTheLeaseShareDuringAnOutage) {
   BudgetNode& node = fleet.startWithLease("a");
   fleet.log.fault = FakeFault::Silent;
   for (int number = 0; number < 30; ++number) {
@@ -181,7 +181,7 @@
   CHECK(fleet.handedOut["program"] <= 1050);
 }
 
-TEST(BudgetPartition, allPowerLostTwiceAmidOutagesKeepsTheBudget) {
+TEST(BudgetPartition, budgetHoldsAfterTwoCrashesDuringStoreOutages) {
   for (int restart = 0; restart < 2; ++restart) {
     BudgetNode& node = fleet.startWithLease("a");
     fleet.log.fault = FakeFault::Silent;
@@ -199,7 +199,7 @@
   CHECK(fleet.handedOut["program"] <= 1050);
 }
 
-TEST(BudgetPartition, aHomeThatIsCutOffAndTheNextOneKeepTheBudgetTogether) {
+TEST(BudgetPartition, isolatedCoordinatorAndItsSuccessorTogetherStayWithinTheBudget) {
   BudgetNode& first = fleet.startWithLease("a");
   first.storeLink.cut = true;
   BudgetNode& second = fleet.startWithLease("b");
@@ -235,7 +235,7 @@
   CHECK(first.partition.heldLeaseSlot() == BudgetLeaseSlot::Primary);
 }
 
-TEST(BudgetPartition, ofThreeHomesThatTakeALeaseAtOnceOneHoldsIt) {
+TEST(BudgetPartition, concurrentAcquisitionsByThreeNodesYieldOneLease) {
   std::vector<BudgetNode*> nodes{&fleet.start("a"), &fleet.start("b"), &fleet.start("c")};
   for (BudgetNode* const node : nodes) {
     node->partition.maintainLease();
@@ -250,7 +250,7 @@
   LONGS_EQUAL(2, holdersOf(std::nullopt));
 }
 
-TEST(BudgetPartition, aRestartedHomeHoldsASecondaryLeaseWithinASecondAndServesAnOutageUnderIt) {
+TEST(BudgetPartition, restartedNodeGetsASecondaryLeaseWithinASecondAndServesAnOutageUnderIt) {
   fleet.startWithLease("a");
   BudgetNode& again = fleet.start("a");
   fleet.maintainLeaseFor(again, seconds(1));
@@ -266,7 +266,7 @@
 
 // Otherwise two dead leases would count together after a further failure, and running programs
 // would be refused.
-TEST(BudgetPartition, theNextHomeHasNoLeaseWhileADeadOnesIsHeldAndASecondaryOneOnceItHasEnded) {
+TEST(BudgetPartition, nextCoordinatorGetsASecondaryLeaseOnlyAfterTheLeaseOfADeadOneHasEnded) {
   fleet.startWithLease("a");
   fleet.kill("a");
   BudgetNode& next = fleet.start("b");
@@ -276,7 +276,7 @@
   CHECK(next.partition.heldLeaseSlot() == BudgetLeaseSlot::Secondary);
 }
 
-TEST(BudgetPartition, aSecondaryLeaseMovesUpWithoutAGapWhenTheDeadOneIsCleared) {
+TEST(BudgetPartition, secondaryLeaseIsPromotedWithoutAGapWhenTheDeadNodesLeaseIsCleared) {
   fleet.startWithLease("a");
   BudgetNode& again = fleet.start("a");
   fleet.maintainLeaseFor(again, seconds(1));
@@ -312,7 +312,7 @@
   LONGS_EQUAL(450, fleet.handedOut[program]);
 }
 
-TEST(BudgetPartition, aThirdLifeWithinTheTimeOfClearingHasNoLeaseAndKeepsTheBudget) {
+TEST(BudgetPartition, thirdIncarnationBeforeClearingGetsNoLeaseAndStaysWithinTheBudget) {
   for (int restart = 0; restart < 2; ++restart) {
     BudgetNode& node = fleet.start("a");
     fleet.maintainLeaseFor(node, seconds(1));
@@ -392,7 +392,7 @@
   LONGS_EQUAL(1000, fleet.handedOut["program"]);
 }
 
-TEST(BudgetPartition, aLeaseThatWasGivenBackIsNotCounted) {
+TEST(BudgetPartition, releasedLeaseIsNotCounted) {
   BudgetNode& first = fleet.startWithLease("a");
   spend(first, "r1", 300);
   fleet.timers.advance(seconds(1));
--- a/tests/ledger/budget_random_test.cpp
+++ b/tests/ledger/budget_random_test.cpp
@@ -164,7 +164,7 @@
 
 TEST_GROUP(BudgetRandom) { BudgetPartitionKnobs knobs; };
 
-TEST(BudgetRandom, noDayBreaksTheBudget) { LONGS_EQUAL(0, firstViolatingSeed(knobs)); }
+TEST(BudgetRandom, randomRunsStayWithinTheBudget) { LONGS_EQUAL(0, firstViolatingSeed(knobs)); }
 
 TEST(BudgetRandom, randomRunsStayWithinTheBudgetWithALargerSecondaryShare) {
   knobs.leases.secondary = kLargerShares;
--- a/tests/ledger/facts_test.cpp
+++ b/tests/ledger/facts_test.cpp
@@ -25,7 +25,7 @@
   CHECK(std::get<BudgetLease>(valueOf(lease)).slot == BudgetLeaseSlot::Secondary);
 }
 
-TEST(Facts, aTurnWithoutABaseHasNone) {
+TEST(Facts, turnWithoutABaseKeepsAnEmptyBase) {
   const auto turn = decodeFact(encodeFact(CompletedTurn{"t1", "", "x"}));
   CHECK(std::get<CompletedTurn>(valueOf(turn)).base.empty());
 }
--- a/tests/ledger/program_ledger_test.cpp
+++ b/tests/ledger/program_ledger_test.cpp
@@ -156,7 +156,7 @@
   STRCMP_EQUAL(expected.c_str(), textOf(addNode(), previous).c_str());
 }
 
-TEST(ProgramLedger, aTurnDroppedFromMemoryIsReadAgain) {
+TEST(ProgramLedger, evictedTurnIsReadAgain) {
   knobs.cacheBytes = 2000;
   knobs.partitions.turnPartitions = 1;
   knobs.partitions.partitionsPerTopic = 1;
--- a/tests/ledger/routed_ledger_test.cpp
+++ b/tests/ledger/routed_ledger_test.cpp
@@ -257,7 +257,7 @@
   LONGS_EQUAL(6, doubtful);
 }
 
-TEST(RoutedLedger, aCallEndsWhenOneHomeIsDeadAndTheOtherSaysThatTheStoreDoesNotAnswer) {
+TEST(RoutedLedger, callEndsEarlyWhenOneCoordinatorIsDeadAndTheOtherReportsAStoreOutage) {
   const auto coordinators = fleet.budgetCoordinators();
   const int asking = Fleet::nodeThatIsNoneOf(coordinators);
   // The second coordinator has detected that the store does not answer. The first one is dead and
@@ -330,7 +330,7 @@
   LONGS_EQUAL(reads, log.reads);
 }
 
-TEST(RoutedLedger, aSlowHomeIsWaitedForRatherThanReadAroundByEveryNode) {
+TEST(RoutedLedger, slowCoordinatorIsWaitedForInsteadOfEveryNodeReadingThePartition) {
   CHECK_TRUE(storeTurn(0, "t1", "", std::string(1000, 'x')));
   // After a restart of all nodes, coordinators have to read the partition from a slow store.
   Fleet restarted(log, timers);
@@ -349,7 +349,7 @@
   CHECK(log.reads - reads <= 4);
 }
 
-TEST(RoutedLedger, aSlowStoreGetsEachReservationOnceOrTwice) {
+TEST(RoutedLedger, appendsStayBatchedOnASlowStore) {
   CHECK(reserve(0, "r0", 1) == ReservationOutcome::Granted);
   log.latency = milliseconds(240);
   log.appends = 0;
