--- a/src/routing/cold_replica_rule.cpp
+++ b/src/routing/cold_replica_rule.cpp
@@ -227,8 +227,7 @@
     return isAllowed ? std::optional(grant) : std::nullopt;
   };
   if (!isStateKnown(now)) {
-    if (isResponsive(replica, now) &&
-        sentInSlot(replica, slotOf(now)) < knobs_.responsiveRequestsPerSlot) {
+    if (isResponsive(replica, now) && sentInSlot(replica, slotOf(now)) < knobs_.trustedPerSlot) {
       return ColdGrant::Responsive;
     }
     return grantIf(maySendInUnknownState(replica, now), ColdGrant::UnknownState);
--- a/src/routing/cold_replica_rule.h
+++ b/src/routing/cold_replica_rule.h
@@ -84,7 +84,7 @@
   Duration responsiveWithin = seconds(2);
   /// Requests per slot to a responsive replica, for each node in unknown state, so that running
   /// programs keep their replica.
-  std::uint32_t responsiveRequestsPerSlot = 1;
+  std::uint32_t trustedPerSlot = 1;
   /// Shorter than the interval in which a sender usually gains a token.
   Duration retryAfter = milliseconds(150);
 };
