--- a/src/edge/edge_daemon.cpp
+++ b/src/edge/edge_daemon.cpp
@@ -79,7 +79,7 @@
           [this](const logstore::PartitionAddress& partition) { return otherRelays(partition); },
           seed),
       failoverStore_(dependencies.store, relayedStore_, clock_, {},
-                     [this](logstore::StoreWay way) { onStorePathChanged(way); }),
+                     [this](logstore::StoreRoute way) { onStorePathChanged(way); }),
       store_(failoverStore_, *timers_, clock_, storePaceOf(settings_), seed),
       relayServer_(dependencies.store),
       announcer_(failoverStore_, *timers_, clock_, {kMemberTopic, 0},
@@ -310,7 +310,7 @@
              const logstore::StoreCallback<logstore::NewestReply>& reply) {
         logstore::TopicGateway* const gateway = sharedTopics_.gatewayOf(request.partition);
         if (gateway != nullptr) {
-          gateway->newest(request, reply);
+          gateway->listLatest(request, reply);
         }
         return gateway != nullptr;
       });
@@ -356,8 +356,9 @@
 
 std::string EdgeDaemon::ownRelayAddress() const { return relayAddressOf(settings_); }
 
-void EdgeDaemon::onStorePathChanged(logstore::StoreWay way) {
-  log_.logImportant("store_way", {{"way", way == logstore::StoreWay::Direct ? "direct" : "relay"}});
+void EdgeDaemon::onStorePathChanged(logstore::StoreRoute way) {
+  log_.logImportant("store_way",
+                    {{"way", way == logstore::StoreRoute::Direct ? "direct" : "relay"}});
 }
 
 void EdgeDaemon::onClientRequest(http::ServerRequest request, http::ResponseWriterPtr writer) {
--- a/src/edge/edge_daemon.h
+++ b/src/edge/edge_daemon.h
@@ -162,7 +162,7 @@
   /// zone is known.
   [[nodiscard]] std::vector<ledger::NodeCandidate> announcementAggregators();
   [[nodiscard]] quota::QuotaAdmission& selectQuotaAdmission();
-  void onStorePathChanged(logstore::StoreWay way);
+  void onStorePathChanged(logstore::StoreRoute way);
   void onPeerState(const std::string& ip, membership::MemberState state);
   Result<Success> listenForPeers();
 
@@ -181,7 +181,7 @@
   MemberTable members_;
   RelayedStore relayedStore_;
   logstore::FailoverStore failoverStore_;
-  logstore::PersistentStore store_;
+  logstore::RetryingStore store_;
   StoreRelayServer relayServer_;
   MemberAnnouncer announcer_;
   logstore::CompactedTopic configurationCopy_;
--- a/src/edge/edge_daemon_followers.cpp
+++ b/src/edge/edge_daemon_followers.cpp
@@ -36,7 +36,7 @@
     coldReplicas_.onEvacuationsFresh(askedAt);
     onTopicFresh("configuration");
   };
-  observer.onStale = [this](const logstore::StoreError& error) {
+  observer.onReadFailed = [this](const logstore::StoreError& error) {
     onTopicStale("configuration", error);
   };
   configurationFollower_ = std::make_shared<logstore::KeyedTopicFollower>(
@@ -163,7 +163,9 @@
     coldReplicas_.onFresh(askedAt);
     onTopicFresh("replicas");
   };
-  observer.onStale = [this](const logstore::StoreError& error) { onTopicStale("replicas", error); };
+  observer.onReadFailed = [this](const logstore::StoreError& error) {
+    onTopicStale("replicas", error);
+  };
   replicaFollower_ = std::make_shared<logstore::KeyedTopicFollower>(
       sharedTopics_, *timers_, clock_, replicaPartition(), logstore::KeyedTopicFollowerKnobs{},
       observer, &replicaCopy_, seed_);
@@ -339,7 +341,9 @@
     members_.onRecordsRead(askedAt);
     onTopicFresh("members");
   };
-  observer.onStale = [this](const logstore::StoreError& error) { onTopicStale("members", error); };
+  observer.onReadFailed = [this](const logstore::StoreError& error) {
+    onTopicStale("members", error);
+  };
   memberFollower_ = std::make_shared<logstore::KeyedTopicFollower>(
       sharedTopics_, *timers_, clock_, logstore::PartitionAddress{kMemberTopic, 0}, knobs, observer,
       &memberCopy_, seed_);
--- a/src/edge/edge_knobs.cpp
+++ b/src/edge/edge_knobs.cpp
@@ -42,10 +42,10 @@
   return settings.memoryBytes / kShareOfMemory;
 }
 
-logstore::CallPacerKnobs storePaceOf(const EdgeSettings& settings) {
-  logstore::CallPacerKnobs knobs;
+logstore::AdaptiveRetrySettings storePaceOf(const EdgeSettings& settings) {
+  logstore::AdaptiveRetrySettings knobs;
   if (!settings.uses(Mechanism::HedgedStoreCalls)) {
-    knobs.shortestPatience = knobs.longestPatience;
+    knobs.minimumReplyTimeout = knobs.maximumReplyTimeout;
   }
   return knobs;
 }
--- a/src/edge/edge_knobs.h
+++ b/src/edge/edge_knobs.h
@@ -8,7 +8,7 @@
 #include "edge/edge_context.h"
 #include "edge/edge_settings.h"
 #include "ledger/program_ledger.h"
-#include "logstore/call_pacer.h"
+#include "logstore/adaptive_retry_policy.h"
 #include "routing/admission_policy.h"
 #include "routing/cold_replica_rule.h"
 #include "routing/replica_selector.h"
@@ -28,7 +28,7 @@
 /// \return for one listener, the maximum bytes of responses that clients have not read yet.
 std::uint64_t maximumUnreadBytesOf(const EdgeSettings& settings);
 
-logstore::CallPacerKnobs storePaceOf(const EdgeSettings& settings);
+logstore::AdaptiveRetrySettings storePaceOf(const EdgeSettings& settings);
 
 routing::ReplicaSelectorKnobs selectorKnobsOf(const EdgeSettings& settings);
 
--- a/src/edge/peer_monitor.h
+++ b/src/edge/peer_monitor.h
@@ -11,7 +11,7 @@
 
 #include "base/result.h"
 #include "edge/datagram_socket.h"
-#include "logstore/persistent_store.h"
+#include "logstore/retrying_store.h"
 #include "membership/membership_service.h"
 #include "services/timer_service.h"
 
--- a/src/edge/shared_topic_store.cpp
+++ b/src/edge/shared_topic_store.cpp
@@ -10,7 +10,7 @@
 logstore::ReadRequest toReaderRequest(logstore::ReadRequest request, Duration timeLimit) {
   request.timeLimit = timeLimit;
   request.wait = Duration::zero();
-  request.changesOnly = true;
+  request.acceptsSparseReply = true;
   return request;
 }
 
@@ -57,7 +57,7 @@
 
 void SharedTopicStore::callDirect(logstore::NewestRequest request,
                                   logstore::StoreCallback<logstore::NewestReply> callback) {
-  direct_.newest(std::move(request), std::move(callback));
+  direct_.listLatest(std::move(request), std::move(callback));
 }
 
 /// A pending call and the readers to try.
@@ -76,8 +76,8 @@
   start<logstore::ReadRequest, logstore::ReadReply>(std::move(request), std::move(callback));
 }
 
-void SharedTopicStore::newest(logstore::NewestRequest request,
-                              logstore::StoreCallback<logstore::NewestReply> callback) {
+void SharedTopicStore::listLatest(logstore::NewestRequest request,
+                                  logstore::StoreCallback<logstore::NewestReply> callback) {
   start<logstore::NewestRequest, logstore::NewestReply>(std::move(request), std::move(callback));
 }
 
--- a/src/edge/shared_topic_store.h
+++ b/src/edge/shared_topic_store.h
@@ -71,8 +71,8 @@
               logstore::StoreCallback<logstore::AppendReply> callback) override;
   void read(logstore::ReadRequest request,
             logstore::StoreCallback<logstore::ReadReply> callback) override;
-  void newest(logstore::NewestRequest request,
-              logstore::StoreCallback<logstore::NewestReply> callback) override;
+  void listLatest(logstore::NewestRequest request,
+                  logstore::StoreCallback<logstore::NewestReply> callback) override;
 
  private:
   template <class Request, class Reply>
--- a/src/edge/store_relay.cpp
+++ b/src/edge/store_relay.cpp
@@ -56,7 +56,7 @@
 void StoreRelayServer::onListing(logstore::NewestRequest request,
                                  logstore::StoreCallback<logstore::NewestReply> reply) {
   if (!listingHandler_ || !listingHandler_(request, reply)) {
-    direct_.newest(std::move(request), std::move(reply));
+    direct_.listLatest(std::move(request), std::move(reply));
   }
 }
 
@@ -112,7 +112,7 @@
     const std::string& relay, logstore::StoreCallback<Reply> callback) {
   return [this, relay, callback = std::move(callback)](logstore::StoreResult<Reply> result) {
     const auto* const error = std::get_if<logstore::StoreError>(&result);
-    const bool reachedStore = error == nullptr || logstore::isStoreAnswer(error->fault);
+    const bool reachedStore = error == nullptr || logstore::isReplyFromStore(error->fault);
     if (reachedStore) {
       lastGoodRelay_ = relay;
     } else if (lastGoodRelay_ == relay) {
@@ -167,8 +167,8 @@
                             logstore::decodeReadReply);
 }
 
-void RelayedStore::newest(logstore::NewestRequest request,
-                          logstore::StoreCallback<logstore::NewestReply> callback) {
+void RelayedStore::listLatest(logstore::NewestRequest request,
+                              logstore::StoreCallback<logstore::NewestReply> callback) {
   const Duration limit = request.timeLimit;
   const std::string relay = chooseRelay(request.partition);
   send<logstore::NewestReply>(relay, std::move(request), limit,
--- a/src/edge/store_relay.h
+++ b/src/edge/store_relay.h
@@ -80,8 +80,8 @@
               logstore::StoreCallback<logstore::AppendReply> callback) override;
   void read(logstore::ReadRequest request,
             logstore::StoreCallback<logstore::ReadReply> callback) override;
-  void newest(logstore::NewestRequest request,
-              logstore::StoreCallback<logstore::NewestReply> callback) override;
+  void listLatest(logstore::NewestRequest request,
+                  logstore::StoreCallback<logstore::NewestReply> callback) override;
 
  private:
   using FailureHandler = std::function<void(const http::Failure&)>;
--- a/src/edge/topic_readers.cpp
+++ b/src/edge/topic_readers.cpp
@@ -40,26 +40,26 @@
 
 void TopicReaders::list() {
   isCallPending_ = true;
-  store_.newest({claims_, {}, knobs_.callTimeout, Duration::zero()},
-                [this](const logstore::StoreResult<logstore::NewestReply>& result) {
-                  isCallPending_ = false;
-                  const auto* const page = std::get_if<logstore::NewestReply>(&result);
-                  if (page == nullptr) {
-                    onFailure();
-                    return;
-                  }
-                  backoff_ = knobs_.initialBackoff;
-                  // An unreadable claim is ignored; the next claim replaces it.
-                  std::string address;
-                  for (const logstore::KeyedItem& item : page->items) {
-                    const auto claim = decodeMemberRecord(item.value);
-                    if (item.key == zone_ && succeeded(claim)) {
-                      address = valueOf(claim).relayAddress;
-                    }
-                  }
-                  election_.onListed(address, clock_());
-                  reportReader();
-                });
+  store_.listLatest({claims_, {}, knobs_.callTimeout, Duration::zero()},
+                    [this](const logstore::StoreResult<logstore::NewestReply>& result) {
+                      isCallPending_ = false;
+                      const auto* const page = std::get_if<logstore::NewestReply>(&result);
+                      if (page == nullptr) {
+                        onFailure();
+                        return;
+                      }
+                      backoff_ = knobs_.initialBackoff;
+                      // An unreadable claim is ignored; the next claim replaces it.
+                      std::string address;
+                      for (const logstore::KeyedItem& item : page->items) {
+                        const auto claim = decodeMemberRecord(item.value);
+                        if (item.key == zone_ && succeeded(claim)) {
+                          address = valueOf(claim).relayAddress;
+                        }
+                      }
+                      election_.onListed(address, clock_());
+                      reportReader();
+                    });
 }
 
 void TopicReaders::claim() {
--- a/src/edge/topic_readers.h
+++ b/src/edge/topic_readers.h
@@ -7,7 +7,7 @@
 #include "edge/member_table.h"
 #include "edge/reader_election.h"
 #include "logstore/log_store.h"
-#include "logstore/persistent_store.h"
+#include "logstore/retrying_store.h"
 #include "services/timer_service.h"
 
 namespace gorsetrail::edge {
--- a/src/ledger/budget_partition.cpp
+++ b/src/ledger/budget_partition.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-BudgetPartition::BudgetPartition(logstore::PersistentStore& store, services::TimerService& timers,
+BudgetPartition::BudgetPartition(logstore::RetryingStore& store, services::TimerService& timers,
                                  logstore::ClockFunction clock, logstore::PartitionAddress address,
                                  BudgetPartitionKnobs knobs)
     : store_(store),
@@ -61,7 +61,7 @@
     callback(*reply);
     return;
   }
-  if (!store_.answers(address_)) {
+  if (!store_.isLikelyAvailable(address_)) {
     callback(undecidedReply(request));  // Waiting would only delay the caller.
     return;
   }
@@ -215,7 +215,7 @@
   recordingScheduled_ = true;
   timers_.runAfter(knobs_.recordingInterval, [this] {
     recordingScheduled_ = false;
-    if (store_.answers(address_)) {
+    if (store_.isLikelyAvailable(address_)) {
       recordGrants();
     }
     scheduleRecording();
@@ -305,7 +305,7 @@
 
 void BudgetPartition::maintainLease() {
   if (!knobs_.leases.enabled || knobs_.incarnation.empty() || leaseAppendPending_ ||
-      !store_.answers(address_)) {
+      !store_.isLikelyAvailable(address_)) {
     return;
   }
   releasing_ = false;
@@ -379,7 +379,7 @@
     return;
   }
   releasing_ = true;
-  if (!store_.answers(address_)) {
+  if (!store_.isLikelyAvailable(address_)) {
     return;
   }
   if (!unrecordedGrants_.empty()) {
--- a/src/ledger/budget_partition.h
+++ b/src/ledger/budget_partition.h
@@ -16,7 +16,7 @@
 #include "ledger/ledger.h"
 #include "ledger/partition_reader.h"
 #include "logstore/append_batcher.h"
-#include "logstore/persistent_store.h"
+#include "logstore/retrying_store.h"
 #include "services/timer_service.h"
 
 namespace gorsetrail::ledger {
@@ -65,7 +65,7 @@
   using ReservationReplyCallback = std::function<void(ReservationReply)>;
 
   /// \param store, timers outlive this object.
-  BudgetPartition(logstore::PersistentStore& store, services::TimerService& timers,
+  BudgetPartition(logstore::RetryingStore& store, services::TimerService& timers,
                   logstore::ClockFunction clock, logstore::PartitionAddress address,
                   BudgetPartitionKnobs knobs);
 
@@ -151,7 +151,7 @@
   [[nodiscard]] std::string leaseId() const;
   [[nodiscard]] std::string ownLease() const { return lease_ ? lease_->id : std::string(); }
 
-  logstore::PersistentStore& store_;
+  logstore::RetryingStore& store_;
   services::TimerService& timers_;
   logstore::ClockFunction clock_;
   logstore::PartitionAddress address_;
--- a/src/ledger/program_ledger.cpp
+++ b/src/ledger/program_ledger.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-ProgramLedger::ProgramLedger(logstore::PersistentStore& store, services::TimerService& timers,
+ProgramLedger::ProgramLedger(logstore::RetryingStore& store, services::TimerService& timers,
                              logstore::ClockFunction clock, LedgerKnobs knobs)
     : store_(store),
       timers_(timers),
@@ -170,7 +170,7 @@
 }
 
 bool ProgramLedger::canStoreTurn(const TurnName& turn) {
-  return store_.answers(layout_.ofTurn(placementFor(turn.zones), turn.request));
+  return store_.isLikelyAvailable(layout_.ofTurn(placementFor(turn.zones), turn.request));
 }
 
 ReservationOutlook ProgramLedger::reservationOutlook(const std::string& program) {
@@ -179,7 +179,7 @@
 }
 
 bool ProgramLedger::canDecideReservations(const logstore::PartitionAddress& budgets) {
-  return store_.answers(budgets) || budgetsAt(budgets).holdsLease();
+  return store_.isLikelyAvailable(budgets) || budgetsAt(budgets).holdsLease();
 }
 
 std::uint64_t ProgramLedger::knownTokenUse(const std::string& program) const {
--- a/src/ledger/program_ledger.h
+++ b/src/ledger/program_ledger.h
@@ -21,7 +21,7 @@
 #include "ledger/turn_cache.h"
 #include "logstore/append_batcher.h"
 #include "logstore/log_store.h"
-#include "logstore/persistent_store.h"
+#include "logstore/retrying_store.h"
 #include "services/timer_service.h"
 
 namespace gorsetrail::ledger {
@@ -46,7 +46,7 @@
   using TurnCallback = std::function<void(TurnAnswer)>;
 
   /// \param store, timers must outlive this object.
-  ProgramLedger(logstore::PersistentStore& store, services::TimerService& timers,
+  ProgramLedger(logstore::RetryingStore& store, services::TimerService& timers,
                 logstore::ClockFunction clock, LedgerKnobs knobs);
 
   // See `Ledger`. Turns are searched only in the preferred partition of the own or first allowed
@@ -75,7 +75,7 @@
   [[nodiscard]] bool isTurnCached(const std::string& turn) { return turns_.find(turn) != nullptr; }
   /// \return whether the store is likely to answer calls for the partition now.
   [[nodiscard]] bool answers(const logstore::PartitionAddress& partition) const {
-    return store_.answers(partition);
+    return store_.isLikelyAvailable(partition);
   }
   /// \return whether this node can probably decide reservations, by the log or under a lease.
   [[nodiscard]] bool canDecideReservations(const logstore::PartitionAddress& budgets);
@@ -100,7 +100,7 @@
   [[nodiscard]] TurnPlacement placementFor(const TurnZones& zones) const;
   void findBase(CompletedTurn turn, const TurnZones& zones, HistoryCallback callback);
 
-  logstore::PersistentStore& store_;
+  logstore::RetryingStore& store_;
   services::TimerService& timers_;
   logstore::ClockFunction clock_;
   LedgerKnobs knobs_;
--- a/src/ledger/routed_ledger.cpp
+++ b/src/ledger/routed_ledger.cpp
@@ -191,7 +191,7 @@
   counters_.passedOn += call->attempts > 0 ? 1 : 0;
   const std::string coordinator = call->coordinators[call->attempts];
   const Instant now = clock_();
-  const Duration probeDelay = pacer_.patience(static_cast<std::uint32_t>(call->attempts));
+  const Duration probeDelay = pacer_.replyTimeout(static_cast<std::uint32_t>(call->attempts));
   ++call->attempts;
   call->awaitingReply.push_back(coordinator);
   call->asked.push_back({coordinator, CoordinatorState::Silent, {}});
@@ -221,7 +221,8 @@
     return;
   }
   constexpr std::uint32_t kSlowAttempt = 3;
-  const Duration failureDelay = std::max(knobs_.storeFailureDelay, pacer_.patience(kSlowAttempt));
+  const Duration failureDelay =
+      std::max(knobs_.storeFailureDelay, pacer_.replyTimeout(kSlowAttempt));
   if (clock_() - call->startedAt >= failureDelay) {
     // The call is overdue at a node that has not failed a liveness probe, so the store is taken to
     // be failing.
--- a/src/ledger/routed_ledger.h
+++ b/src/ledger/routed_ledger.h
@@ -18,8 +18,8 @@
 #include "ledger/ledger_partitions.h"
 #include "ledger/ledger_service.h"
 #include "ledger/rendezvous_selector.h"
-#include "logstore/call_pacer.h"
-#include "logstore/persistent_store.h"
+#include "logstore/adaptive_retry_policy.h"
+#include "logstore/retrying_store.h"
 #include "services/timer_service.h"
 
 namespace gorsetrail::ledger {
@@ -57,8 +57,8 @@
   Duration accountRetention = seconds(300);
   /// Delay before a coordinator that has not replied is probed: adapted to measured reply times,
   /// within these bounds.
-  logstore::CallPacerKnobs pace{milliseconds(60), milliseconds(800), 3.0, milliseconds(15),
-                                milliseconds(400)};
+  logstore::AdaptiveRetrySettings pace{milliseconds(60), milliseconds(800), 3.0, milliseconds(15),
+                                       milliseconds(400)};
   /// A call unanswered for this long, and for longer than usual, counts as a store failure of the
   /// partition.
   Duration storeFailureDelay = milliseconds(500);
@@ -183,7 +183,7 @@
   RoutedLedgerKnobs knobs_;
   LedgerPartitions layout_;
   RendezvousSelector selector_;
-  logstore::CallPacer pacer_;
+  logstore::AdaptiveRetryPolicy pacer_;
   RoutedLedgerCounters counters_;
   std::unordered_map<std::string, KnownUse> knownUse_;
   /// Circuit breakers of the partitions whose last call failed.
--- a/src/logstore/call_pacer.h
+++ b/src/logstore/adaptive_retry_policy.h
@@ -8,10 +8,10 @@
 
 namespace gorsetrail::logstore {
 
-/// Settings of `CallPacer`.
-struct CallPacerKnobs {
-  Duration shortestPatience = milliseconds(60);   ///< Minimum reply timeout.
-  Duration longestPatience = milliseconds(1500);  ///< Maximum reply timeout.
+/// Settings of `AdaptiveRetryPolicy`.
+struct AdaptiveRetrySettings {
+  Duration minimumReplyTimeout = milliseconds(60);    ///< Minimum reply timeout.
+  Duration maximumReplyTimeout = milliseconds(1500);  ///< Maximum reply timeout.
   double timeoutFactor = 5.0;  ///< Reply timeout as a multiple of the average latency.
   Duration firstBackoff = milliseconds(15);
   Duration longestBackoff = milliseconds(400);
@@ -19,9 +19,10 @@
 
 /// Derives the reply timeout from a moving average of the store's latency. A slow store is not
 /// overloaded with retries, and a lost reply is detected early while the store is fast.
-class CallPacer {
+class AdaptiveRetryPolicy {
  public:
-  CallPacer(CallPacerKnobs knobs, std::uint64_t seed) : knobs_(knobs), random_(seed) {}
+  AdaptiveRetryPolicy(AdaptiveRetrySettings knobs, std::uint64_t seed)
+      : knobs_(knobs), random_(seed) {}
 
   /// Adds the latency of one reply to the average.
   void onAnswer(Duration latency) {
@@ -31,12 +32,12 @@
   }
 
   /// \return the reply timeout of attempt number `attempt` (from 0); it doubles with each attempt.
-  [[nodiscard]] Duration patience(std::uint32_t attempt) const {
+  [[nodiscard]] Duration replyTimeout(std::uint32_t attempt) const {
     const auto average = Duration(static_cast<Duration::rep>(averageMicroseconds_));
     const auto base =
-        std::max(knobs_.shortestPatience,
+        std::max(knobs_.minimumReplyTimeout,
                  std::chrono::duration_cast<Duration>(average * knobs_.timeoutFactor));
-    return std::min(knobs_.longestPatience, base * (std::int64_t{1} << std::min(attempt, 5U)));
+    return std::min(knobs_.maximumReplyTimeout, base * (std::int64_t{1} << std::min(attempt, 5U)));
   }
 
   /// \return the backoff before retry number `attempt` (from 1): exponential, with jitter.
@@ -48,7 +49,7 @@
   }
 
  private:
-  CallPacerKnobs knobs_;
+  AdaptiveRetrySettings knobs_;
   RandomSource random_;
   double averageMicroseconds_ = 8000;
 };
--- a/src/logstore/append_batcher.h
+++ b/src/logstore/append_batcher.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "logstore/log_store.h"
-#include "logstore/persistent_store.h"
+#include "logstore/retrying_store.h"
 #include "services/timer_service.h"
 
 namespace gorsetrail::logstore {
--- a/src/logstore/failover_store.cpp
+++ b/src/logstore/failover_store.cpp
@@ -4,12 +4,12 @@
 
 namespace gorsetrail::logstore {
 
-bool isStoreAnswer(StoreFault fault) {
+bool isReplyFromStore(StoreFault fault) {
   return fault == StoreFault::Compacted || fault == StoreFault::Rejected;
 }
 
 FailoverStore::FailoverStore(LogStore& direct, LogStore& relay, ClockFunction clock,
-                             FailoverKnobs knobs, std::function<void(StoreWay)> onSwitched)
+                             FailoverKnobs knobs, std::function<void(StoreRoute)> onSwitched)
     : direct_(direct),
       relay_(relay),
       clock_(std::move(clock)),
@@ -28,7 +28,7 @@
     nextProbeAt_ = now + knobs_.probeInterval;
     return direct_;
   }
-  setRoute(StoreWay::Relay);
+  setRoute(StoreRoute::Relay);
   return relay_;
 }
 
@@ -40,7 +40,7 @@
   }
   return [this, callback = std::move(callback)](StoreResult<Reply> result) {
     const auto* const error = std::get_if<StoreError>(&result);
-    onDirectResult(error == nullptr || isStoreAnswer(error->fault));
+    onDirectResult(error == nullptr || isReplyFromStore(error->fault));
     callback(std::move(result));
   };
 }
@@ -55,9 +55,9 @@
   route.read(std::move(request), trackOutcome(route, std::move(callback)));
 }
 
-void FailoverStore::newest(NewestRequest request, StoreCallback<NewestReply> callback) {
+void FailoverStore::listLatest(NewestRequest request, StoreCallback<NewestReply> callback) {
   LogStore& route = selectRoute();
-  route.newest(std::move(request), trackOutcome(route, std::move(callback)));
+  route.listLatest(std::move(request), trackOutcome(route, std::move(callback)));
 }
 
 void FailoverStore::onDirectResult(bool answered) {
@@ -67,10 +67,10 @@
   }
   consecutiveFailures_ = 0;
   lastAnswerAt_ = clock_();
-  setRoute(StoreWay::Direct);
+  setRoute(StoreRoute::Direct);
 }
 
-void FailoverStore::setRoute(StoreWay route) {
+void FailoverStore::setRoute(StoreRoute route) {
   if (std::exchange(route_, route) != route) {
     onSwitched_(route);
   }
--- a/src/logstore/failover_store.h
+++ b/src/logstore/failover_store.h
@@ -5,15 +5,15 @@
 
 #include "base/time.h"
 #include "logstore/log_store.h"
-#include "logstore/persistent_store.h"
+#include "logstore/retrying_store.h"
 
 namespace gorsetrail::logstore {
 
 /// \return whether the fault was reported by the store itself, which proves that it is reachable.
-bool isStoreAnswer(StoreFault fault);
+bool isReplyFromStore(StoreFault fault);
 
 /// Route of a call to the store.
-enum class StoreWay : std::uint8_t { Direct, Relay };
+enum class StoreRoute : std::uint8_t { Direct, Relay };
 
 /// Conditions for switching to the relay and back.
 struct FailoverKnobs {
@@ -26,37 +26,37 @@
 /// Sends calls directly to the store, or through a relay when the store is unreachable from this
 /// node or refuses it. A single direct reply proves that the store is reachable: unavailable
 /// partitions are unavailable to other nodes too. Switching is safe at any time, because every call
-/// may be made twice (see `PersistentStore`).
+/// may be made twice (see `RetryingStore`).
 class FailoverStore final : public LogStore {
  public:
   /// \param direct, relay must outlive this object.
   /// \param onSwitched called when the route changes.
   FailoverStore(LogStore& direct, LogStore& relay, ClockFunction clock, FailoverKnobs knobs,
-                std::function<void(StoreWay)> onSwitched);
+                std::function<void(StoreRoute)> onSwitched);
 
   void append(AppendRequest request, StoreCallback<AppendReply> callback) override;
   void read(ReadRequest request, StoreCallback<ReadReply> callback) override;
-  void newest(NewestRequest request, StoreCallback<NewestReply> callback) override;
+  void listLatest(NewestRequest request, StoreCallback<NewestReply> callback) override;
 
   /// \return whether the direct route is in use.
-  [[nodiscard]] bool isDirect() const { return route_ == StoreWay::Direct; }
+  [[nodiscard]] bool isDirect() const { return route_ == StoreRoute::Direct; }
 
  private:
   LogStore& selectRoute();
   template <class Reply>
   StoreCallback<Reply> trackOutcome(const LogStore& target, StoreCallback<Reply> callback);
   void onDirectResult(bool answered);
-  void setRoute(StoreWay route);
+  void setRoute(StoreRoute route);
 
   LogStore& direct_;
   LogStore& relay_;
   ClockFunction clock_;
-  std::function<void(StoreWay)> onSwitched_;
+  std::function<void(StoreRoute)> onSwitched_;
   FailoverKnobs knobs_;
   std::uint32_t consecutiveFailures_ = 0;
   Instant lastAnswerAt_;
   Instant nextProbeAt_;
-  StoreWay route_ = StoreWay::Direct;
+  StoreRoute route_ = StoreRoute::Direct;
 };
 
 }  // namespace gorsetrail::logstore
--- a/src/logstore/keyed_topic_follower.cpp
+++ b/src/logstore/keyed_topic_follower.cpp
@@ -28,10 +28,10 @@
 
 void KeyedTopicFollower::listFrom(const std::string& afterKey) {
   const Instant askedAt = clock_();
-  store_.newest({partition_, afterKey, knobs_.listingTimeout, knobs_.pageTransferTime},
-                [self = shared_from_this(), askedAt](const StoreResult<NewestReply>& result) {
-                  self->onPage(askedAt, result);
-                });
+  store_.listLatest({partition_, afterKey, knobs_.listingTimeout, knobs_.pageTransferTime},
+                    [self = shared_from_this(), askedAt](const StoreResult<NewestReply>& result) {
+                      self->onPage(askedAt, result);
+                    });
 }
 
 void KeyedTopicFollower::onPage(Instant askedAt, const StoreResult<NewestReply>& result) {
@@ -70,7 +70,7 @@
 void KeyedTopicFollower::readNext() {
   const Instant askedAt = clock_();
   ReadRequest request{partition_, nextOffset_, knobs_.wait, knobs_.wait + knobs_.patience};
-  request.changesOnly = true;
+  request.acceptsSparseReply = true;
   store_.read(std::move(request),
               [self = shared_from_this(), askedAt](const StoreResult<ReadReply>& result) {
                 self->onRead(askedAt, result);
@@ -134,7 +134,7 @@
 
 void KeyedTopicFollower::onFailure(const StoreError& error, void (KeyedTopicFollower::*step)()) {
   ++consecutiveFailures_;
-  observer_.onStale(error);
+  observer_.onReadFailed(error);
   scheduleStep(step);
 }
 
--- a/src/logstore/keyed_topic_follower.h
+++ b/src/logstore/keyed_topic_follower.h
@@ -9,7 +9,7 @@
 #include "base/random.h"
 #include "logstore/compacted_topic.h"
 #include "logstore/log_store.h"
-#include "logstore/persistent_store.h"
+#include "logstore/retrying_store.h"
 #include "services/timer_service.h"
 
 namespace gorsetrail::logstore {
@@ -39,7 +39,7 @@
   /// Called after a reply: the reported state is at least as recent as `askedAt`.
   std::function<void(Instant askedAt)> onFresh;
   /// Called after a failed read or listing page.
-  std::function<void(const StoreError& error)> onStale;
+  std::function<void(const StoreError& error)> onReadFailed;
 };
 
 /// Lists all keys of a partition, then reads its changes. Reading starts at the end offset of the
--- a/src/logstore/log_store.h
+++ b/src/logstore/log_store.h
@@ -114,7 +114,7 @@
   /// Expected transfer time of a full reply, added to the reply timeout.
   Duration transferTime = Duration::zero();
   /// Whether the caller accepts `ReadReply::changes`, which only reader nodes send.
-  bool changesOnly = false;
+  bool acceptsSparseReply = false;
 };
 
 struct NewestRequest {
@@ -133,7 +133,7 @@
   virtual void append(AppendRequest request, StoreCallback<AppendReply> callback) = 0;
   virtual void read(ReadRequest request, StoreCallback<ReadReply> callback) = 0;
   /// Lists the latest value of each key, page by page.
-  virtual void newest(NewestRequest request, StoreCallback<NewestReply> callback) = 0;
+  virtual void listLatest(NewestRequest request, StoreCallback<NewestReply> callback) = 0;
 };
 
 /// \return a keyed record: key length in one byte, key, value. Longer keys are truncated.
--- a/src/logstore/persistent_store.cpp
+++ b/src/logstore/retrying_store.cpp
@@ -1,4 +1,4 @@
-#include "logstore/persistent_store.h"
+#include "logstore/retrying_store.h"
 
 #include <algorithm>
 #include <utility>
@@ -37,7 +37,7 @@
 }  // namespace
 
 template <class Request, class Reply>
-struct PersistentStore::Call {
+struct RetryingStore::Call {
   Request request;
   StoreCallback<Reply> callback;
   Instant deadline;
@@ -46,15 +46,15 @@
   bool done = false;
 };
 
-PersistentStore::PersistentStore(LogStore& direct, services::TimerService& timers,
-                                 ClockFunction clock, CallPacerKnobs knobs, std::uint64_t seed)
+RetryingStore::RetryingStore(LogStore& direct, services::TimerService& timers, ClockFunction clock,
+                             AdaptiveRetrySettings knobs, std::uint64_t seed)
     : direct_(direct),
       timers_(timers),
       clock_(std::move(clock)),
       pacer_(knobs, seed),
       storeBreaker_(breakerKnobs(kStoreFailuresToOpen)) {}
 
-void PersistentStore::append(AppendRequest request, StoreCallback<AppendReply> callback) {
+void RetryingStore::append(AppendRequest request, StoreCallback<AppendReply> callback) {
   const Instant deadline = clock_() + request.timeLimit;
   const auto call = std::make_shared<Call<AppendRequest, AppendReply>>(
       Call<AppendRequest, AppendReply>{std::move(request), std::move(callback), deadline});
@@ -63,33 +63,33 @@
   startAttempt(call);
 }
 
-void PersistentStore::read(ReadRequest request, StoreCallback<ReadReply> callback) {
+void RetryingStore::read(ReadRequest request, StoreCallback<ReadReply> callback) {
   const Instant deadline = clock_() + request.timeLimit;
   startAttempt(std::make_shared<Call<ReadRequest, ReadReply>>(
       Call<ReadRequest, ReadReply>{std::move(request), std::move(callback), deadline}));
 }
 
-void PersistentStore::newest(NewestRequest request, StoreCallback<NewestReply> callback) {
+void RetryingStore::listLatest(NewestRequest request, StoreCallback<NewestReply> callback) {
   const Instant deadline = clock_() + request.timeLimit;
   startAttempt(std::make_shared<Call<NewestRequest, NewestReply>>(
       Call<NewestRequest, NewestReply>{std::move(request), std::move(callback), deadline}));
 }
 
-void PersistentStore::callDirect(AppendRequest request, StoreCallback<AppendReply> callback) {
+void RetryingStore::callDirect(AppendRequest request, StoreCallback<AppendReply> callback) {
   direct_.append(std::move(request), std::move(callback));
 }
-void PersistentStore::callDirect(ReadRequest request, StoreCallback<ReadReply> callback) {
+void RetryingStore::callDirect(ReadRequest request, StoreCallback<ReadReply> callback) {
   direct_.read(std::move(request), std::move(callback));
 }
-void PersistentStore::callDirect(NewestRequest request, StoreCallback<NewestReply> callback) {
-  direct_.newest(std::move(request), std::move(callback));
+void RetryingStore::callDirect(NewestRequest request, StoreCallback<NewestReply> callback) {
+  direct_.listLatest(std::move(request), std::move(callback));
 }
 
 template <class Request, class Reply>
-void PersistentStore::startAttempt(const std::shared_ptr<Call<Request, Reply>>& call) {
+void RetryingStore::startAttempt(const std::shared_ptr<Call<Request, Reply>>& call) {
   const Instant startedAt = clock_();
   const Duration holdTime = holdTimeOf(call->request);
-  const Duration replyTimeout = pacer_.patience(call->attemptsStarted) + holdTime;
+  const Duration replyTimeout = pacer_.replyTimeout(call->attemptsStarted) + holdTime;
   Request request = call->request;
   request.timeLimit =
       std::min(std::max(kMinimumAttemptTimeout, replyTimeout * kAttemptTimeoutFactor),
@@ -111,8 +111,8 @@
 }
 
 template <class Request, class Reply>
-void PersistentStore::onResult(const std::shared_ptr<Call<Request, Reply>>& call, Instant startedAt,
-                               StoreResult<Reply> result) {
+void RetryingStore::onResult(const std::shared_ptr<Call<Request, Reply>>& call, Instant startedAt,
+                             StoreResult<Reply> result) {
   const Instant now = clock_();
   const auto* const error = std::get_if<StoreError>(&result);
   --call->attemptsInFlight;
@@ -143,7 +143,7 @@
   timers_.runAfter(pause, [this, call] { startAttempt(call); });
 }
 
-void PersistentStore::retryOutstandingAppends() {
+void RetryingStore::retryOutstandingAppends() {
   const std::vector<std::weak_ptr<Call<AppendRequest, AppendReply>>> waiting = outstandingAppends_;
   for (const auto& weak : waiting) {
     const auto call = weak.lock();
@@ -154,8 +154,8 @@
   }
 }
 
-void PersistentStore::updateBreakers(const PartitionAddress& partition, const StoreError* error,
-                                     Instant now) {
+void RetryingStore::updateBreakers(const PartitionAddress& partition, const StoreError* error,
+                                   Instant now) {
   if (error == nullptr || !isRetryable(error->fault)) {
     const bool wasUnavailable = storeBreaker_.state(now) != engine::CircuitState::Closed;
     storeBreaker_.onSuccess();
@@ -171,7 +171,7 @@
   entry->second.onFailure(now);
 }
 
-bool PersistentStore::answers(const PartitionAddress& partition) const {
+bool RetryingStore::isLikelyAvailable(const PartitionAddress& partition) const {
   const Instant now = clock_();
   if (storeBreaker_.state(now) == engine::CircuitState::Open) {
     return false;
@@ -181,7 +181,7 @@
          found->second.state(now) != engine::CircuitState::Open;
 }
 
-void PersistentStore::countFault(StoreFault fault) {
+void RetryingStore::countFault(StoreFault fault) {
   switch (fault) {
     case StoreFault::NoAnswer:
       ++counters_.unanswered;
--- a/src/logstore/persistent_store.h
+++ b/src/logstore/retrying_store.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "engine/circuit_breaker.h"
-#include "logstore/call_pacer.h"
+#include "logstore/adaptive_retry_policy.h"
 #include "logstore/log_store.h"
 #include "services/timer_service.h"
 
@@ -35,20 +35,20 @@
 /// After a refusal the next attempt waits with backoff. When the store replies after an outage,
 /// outstanding appends are retried at once, because requests sent during the outage may never be
 /// answered and would only time out after seconds.
-class PersistentStore final : public LogStore {
+class RetryingStore final : public LogStore {
  public:
   /// \param direct, timers must outlive this object.
-  PersistentStore(LogStore& direct, services::TimerService& timers, ClockFunction clock,
-                  CallPacerKnobs knobs, std::uint64_t seed);
+  RetryingStore(LogStore& direct, services::TimerService& timers, ClockFunction clock,
+                AdaptiveRetrySettings knobs, std::uint64_t seed);
 
   void append(AppendRequest request, StoreCallback<AppendReply> callback) override;
   void read(ReadRequest request, StoreCallback<ReadReply> callback) override;
-  void newest(NewestRequest request, StoreCallback<NewestReply> callback) override;
+  void listLatest(NewestRequest request, StoreCallback<NewestReply> callback) override;
 
   [[nodiscard]] const StoreCounters& counters() const { return counters_; }
   /// \return whether calls to this partition are likely to be answered: false while the circuit
   /// breaker of the partition or of the whole store is open, true again when a probe is due.
-  [[nodiscard]] bool answers(const PartitionAddress& partition) const;
+  [[nodiscard]] bool isLikelyAvailable(const PartitionAddress& partition) const;
 
  private:
   template <class Request, class Reply>
@@ -70,7 +70,7 @@
   LogStore& direct_;
   services::TimerService& timers_;
   ClockFunction clock_;
-  CallPacer pacer_;
+  AdaptiveRetryPolicy pacer_;
   StoreCounters counters_;
   engine::CircuitBreaker storeBreaker_;
   /// All outstanding appends; may also contain completed ones.
--- a/src/logstore/store_message.cpp
+++ b/src/logstore/store_message.cpp
@@ -88,7 +88,7 @@
   call.add_start(request.start);
   call.add_wait_us(static_cast<std::uint64_t>(request.wait.count()));
   call.add_time_limit_us(static_cast<std::uint64_t>(request.timeLimit.count()));
-  call.add_changes_only(request.changesOnly);
+  call.add_changes_only(request.acceptsSparseReply);
   const auto offset = call.Finish();
   return finishEnvelope(builder, fbs::Message::StoreCall, offset.Union());
 }
@@ -216,7 +216,7 @@
   request.start = call.start();
   request.wait = Duration(static_cast<Duration::rep>(call.wait_us()));
   request.timeLimit = timeLimit;
-  request.changesOnly = call.changes_only();
+  request.acceptsSparseReply = call.changes_only();
   return request;
 }
 
--- a/src/logstore/topic_gateway.cpp
+++ b/src/logstore/topic_gateway.cpp
@@ -45,7 +45,7 @@
   });
 }
 
-void TopicGateway::newest(const NewestRequest& request, StoreCallback<NewestReply> callback) {
+void TopicGateway::listLatest(const NewestRequest& request, StoreCallback<NewestReply> callback) {
   auto answer = [this, after = request.afterKey,
                  callback = std::move(callback)](const StoreError* error) {
     if (error != nullptr) {
@@ -97,7 +97,7 @@
   request.partition = partition_;
   request.start = copy_.end();
   request.timeLimit = knobs_.readTimeout;
-  request.changesOnly = true;
+  request.acceptsSparseReply = true;
   const std::uint64_t start = request.start;
   store_.read(std::move(request),
               [this, start](const StoreResult<ReadReply>& result) { onRead(start, result); });
@@ -147,7 +147,7 @@
   for (const std::string& record : reply->records) {
     counters_.bytes += record.size();
   }
-  if (request.changesOnly) {
+  if (request.acceptsSparseReply) {
     return std::move(*reply);
   }
   return withEveryOffset(*reply, request.start, knobs_.maximumDenseRecords);
--- a/src/logstore/topic_gateway.h
+++ b/src/logstore/topic_gateway.h
@@ -7,7 +7,7 @@
 
 #include "logstore/compacted_topic.h"
 #include "logstore/log_store.h"
-#include "logstore/persistent_store.h"
+#include "logstore/retrying_store.h"
 #include "services/timer_service.h"
 
 namespace gorsetrail::logstore {
@@ -42,7 +42,7 @@
   void read(const ReadRequest& request, StoreCallback<ReadReply> callback);
   /// Returns a page of the key listing. Later pages come from the copy without a store read.
   /// Errors: those of the store.
-  void newest(const NewestRequest& request, StoreCallback<NewestReply> callback);
+  void listLatest(const NewestRequest& request, StoreCallback<NewestReply> callback);
 
   [[nodiscard]] const CompactedTopic& copy() const { return copy_; }
   [[nodiscard]] const TopicGatewayCounters& counters() const { return counters_; }
--- a/tests/edge/exchange_stream_test.cpp
+++ b/tests/edge/exchange_stream_test.cpp
@@ -157,7 +157,7 @@
 
 TEST(ExchangeStream, doesNotClaimNotExecutedIfTheBudgetIsSpentAfterTheDispatch) {
   // Another node has reserved most of the budget, which this node has not read yet.
-  logstore::PersistentStore otherStore(
+  logstore::RetryingStore otherStore(
       world.log, world.timers, [this] { return world.timers.now; }, {}, 2);
   ledger::ProgramLedger other(otherStore, world.timers, [this] { return world.timers.now; }, {});
   other.reserve({{"elsewhere", "program", 900}, 1000, {}}, seconds(1),
--- a/tests/edge/exchange_world.h
+++ b/tests/edge/exchange_world.h
@@ -10,7 +10,7 @@
 #include "edge/exchange.h"
 #include "ledger/program_ledger.h"
 #include "logstore/fake_log_store.h"
-#include "logstore/persistent_store.h"
+#include "logstore/retrying_store.h"
 #include "quota/quota_admission.h"
 
 namespace gorsetrail::edge::testing {
@@ -236,7 +236,7 @@
                     [this] { return timers.now; },
                     {}};
   EdgeMetrics metrics;
-  logstore::PersistentStore store{log, timers, [this] { return timers.now; }, {}, 1};
+  logstore::RetryingStore store{log, timers, [this] { return timers.now; }, {}, 1};
   ledger::ProgramLedger ledger{store, timers, [this] { return timers.now; }, {}};
   FakeQuota quota;
   routing::ReplicaPlacement placement{replicas, selector, admission, {}};
--- a/tests/edge/fleet_start_test.cpp
+++ b/tests/edge/fleet_start_test.cpp
@@ -10,7 +10,7 @@
 #include "edge/topic_readers.h"
 #include "logstore/fake_log_store.h"
 #include "logstore/keyed_topic_follower.h"
-#include "logstore/persistent_store.h"
+#include "logstore/retrying_store.h"
 #include "logstore/store_message.h"
 // Include after the standard headers, because CppUTest redefines `new`.
 #include <CppUTest/TestHarness.h>
@@ -70,8 +70,8 @@
     }
     send<logstore::ReadReply>(std::move(reply), bytes, request.timeLimit, std::move(callback));
   }
-  void newest(logstore::NewestRequest request,
-              logstore::StoreCallback<logstore::NewestReply> callback) override {
+  void listLatest(logstore::NewestRequest request,
+                  logstore::StoreCallback<logstore::NewestReply> callback) override {
     const auto& items = newest_[request.partition];
     logstore::NewestReply reply;
     reply.end = logs_[request.partition].size();
@@ -140,12 +140,12 @@
       store_.read(std::move(request), std::move(callback));
     }
   }
-  void newest(logstore::NewestRequest request,
-              logstore::StoreCallback<logstore::NewestReply> callback) override {
+  void listLatest(logstore::NewestRequest request,
+                  logstore::StoreCallback<logstore::NewestReply> callback) override {
     if (isCut) {
       fail(request.timeLimit, callback);
     } else {
-      store_.newest(std::move(request), std::move(callback));
+      store_.listLatest(std::move(request), std::move(callback));
     }
   }
 
@@ -222,7 +222,7 @@
     };
     observer.onListed = [](const std::vector<std::string>&) {};
     observer.onFresh = [this](Instant askedAt) { freshAt = askedAt; };
-    observer.onStale = [](const logstore::StoreError&) {};
+    observer.onReadFailed = [](const logstore::StoreError&) {};
     follower_ = std::make_shared<logstore::KeyedTopicFollower>(
         shared_, timers, clock_, kReplicaPartition, logstore::KeyedTopicFollowerKnobs{}, observer,
         &copy, seed);
@@ -261,7 +261,7 @@
   StoreConnection storeConnection;
 
  private:
-  logstore::PersistentStore store_;
+  logstore::RetryingStore store_;
   RelayedStore relay_;
 
  public:
@@ -292,12 +292,12 @@
       std::visit([&](auto& value) { reply(node, value, limit, handler); }, result);
     });
   } else {
-    node.gateway.newest(std::get<logstore::NewestRequest>(valueOf(call)),
-                        [this, &node, limit = request.timeLimit,
-                         handler](logstore::StoreResult<logstore::NewestReply> result) {
-                          std::visit([&](auto& value) { reply(node, value, limit, handler); },
-                                     result);
-                        });
+    node.gateway.listLatest(std::get<logstore::NewestRequest>(valueOf(call)),
+                            [this, &node, limit = request.timeLimit,
+                             handler](logstore::StoreResult<logstore::NewestReply> result) {
+                              std::visit([&](auto& value) { reply(node, value, limit, handler); },
+                                         result);
+                            });
   }
   return std::make_shared<NoHandle>();
 }
--- a/tests/edge/shared_topic_store_test.cpp
+++ b/tests/edge/shared_topic_store_test.cpp
@@ -66,8 +66,8 @@
   }
   std::optional<logstore::StoreResult<logstore::NewestReply>> list() {
     std::optional<logstore::StoreResult<logstore::NewestReply>> got;
-    store.newest({partition, {}},
-                 [&got](logstore::StoreResult<logstore::NewestReply> result) { got = result; });
+    store.listLatest({partition, {}},
+                     [&got](logstore::StoreResult<logstore::NewestReply> result) { got = result; });
     timers.advance(seconds(2));
     return got;
   }
--- a/tests/ledger/budget_fleet.h
+++ b/tests/ledger/budget_fleet.h
@@ -30,9 +30,9 @@
     cut ? fail(request.timeLimit, std::move(callback))
         : shared_.read(std::move(request), std::move(callback));
   }
-  void newest(logstore::NewestRequest request,
-              logstore::StoreCallback<logstore::NewestReply> callback) override {
-    shared_.newest(std::move(request), std::move(callback));
+  void listLatest(logstore::NewestRequest request,
+                  logstore::StoreCallback<logstore::NewestReply> callback) override {
+    shared_.listLatest(std::move(request), std::move(callback));
   }
   bool cut = false;
 
@@ -64,7 +64,7 @@
     return knobs;
   }
   CuttableStore storeLink;
-  logstore::PersistentStore store;
+  logstore::RetryingStore store;
   BudgetPartition partition;
 };
 
--- a/tests/ledger/ledger_fleet.h
+++ b/tests/ledger/ledger_fleet.h
@@ -68,7 +68,7 @@
   }
 
   std::string zone;
-  logstore::PersistentStore store;
+  logstore::RetryingStore store;
   ProgramLedger local;
   LedgerService service;
   FleetPeers peers;
--- a/tests/ledger/program_ledger_test.cpp
+++ b/tests/ledger/program_ledger_test.cpp
@@ -24,7 +24,7 @@
             log, timers, [&timers] { return timers.now; }, {}, 1),
         ledger(
             store, timers, [&timers] { return timers.now; }, knobs) {}
-  logstore::PersistentStore store;
+  logstore::RetryingStore store;
   ProgramLedger ledger;
 };
 
--- a/tests/logstore/failover_store_test.cpp
+++ b/tests/logstore/failover_store_test.cpp
@@ -14,7 +14,7 @@
   FakeLogStore relay{timers};
   int switches = 0;
   FailoverStore store{
-      direct, relay, [this] { return timers.now; }, {}, [this](StoreWay) { ++switches; }};
+      direct, relay, [this] { return timers.now; }, {}, [this](StoreRoute) { ++switches; }};
   int answered = 0;
 
   void call() {
--- a/tests/logstore/fake_log_store.h
+++ b/tests/logstore/fake_log_store.h
@@ -76,7 +76,7 @@
     answer<ReadReply>(request.partition, request.timeLimit, std::move(apply), std::move(callback));
   }
 
-  void newest(NewestRequest request, StoreCallback<NewestReply> callback) override {
+  void listLatest(NewestRequest request, StoreCallback<NewestReply> callback) override {
     auto apply = [this, request]() -> NewestReply {
       std::map<std::string, KeyedItem> byKey;
       const auto& log = logs[request.partition];
--- a/tests/logstore/keyed_topic_follower_test.cpp
+++ b/tests/logstore/keyed_topic_follower_test.cpp
@@ -35,7 +35,7 @@
       }
     };
     observer.onFresh = [](Instant) {};
-    observer.onStale = [this](const StoreError&) { ++failures; };
+    observer.onReadFailed = [this](const StoreError&) { ++failures; };
     follower = std::make_shared<KeyedTopicFollower>(
         store, timers, [this] { return timers.now; }, partition, KeyedTopicFollowerKnobs{},
         observer);
--- a/tests/logstore/persistent_store_test.cpp
+++ b/tests/logstore/retrying_store_test.cpp
@@ -1,5 +1,5 @@
 // Guards against lost calls, needless retries to a slow store, and late detection of outages.
-#include "logstore/persistent_store.h"
+#include "logstore/retrying_store.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -10,10 +10,10 @@
 using namespace gorsetrail;
 using namespace gorsetrail::logstore;
 
-TEST_GROUP(PersistentStore) {
+TEST_GROUP(RetryingStore) {
   FakeTimers timers;
   FakeLogStore direct{timers};
-  PersistentStore store{direct, timers, [this] { return timers.now; }, {}, 7};
+  RetryingStore store{direct, timers, [this] { return timers.now; }, {}, 7};
   const PartitionAddress partition{"t", 3};
   std::optional<StoreResult<AppendReply>> result;
 
@@ -24,7 +24,7 @@
   bool appended() { return result && std::holds_alternative<AppendReply>(*result); }
 };
 
-TEST(PersistentStore, makesOneCallWhenTheStoreAnswersInTime) {
+TEST(RetryingStore, makesOneCallWhenTheStoreAnswersInTime) {
   append(seconds(1));
   timers.advance(seconds(2));
   CHECK_TRUE(appended());
@@ -32,7 +32,7 @@
   LONGS_EQUAL(1, direct.logs[partition].size());
 }
 
-TEST(PersistentStore, retriesALostReplyLongBeforeTheTimeLimit) {
+TEST(RetryingStore, retriesALostReplyLongBeforeTheTimeLimit) {
   direct.fault = FakeFault::LostReply;
   append(seconds(4));
   timers.advance(milliseconds(10));
@@ -43,12 +43,12 @@
   LONGS_EQUAL(2, direct.logs[partition].size());
 }
 
-TEST(PersistentStore, waitsForASlowStoreAndLearnsItsPace) {
+TEST(RetryingStore, waitsForASlowStoreAndLearnsItsPace) {
   direct.latency = milliseconds(240);
   append(seconds(4));
   timers.advance(seconds(4));
   CHECK_TRUE(appended());
-  CHECK_TRUE(store.answers(partition));
+  CHECK_TRUE(store.isLikelyAvailable(partition));
   for (int call = 0; call < 10; ++call) {
     append(seconds(4));
     timers.advance(seconds(1));
@@ -59,7 +59,7 @@
   LONGS_EQUAL(1, direct.appends - before);
 }
 
-TEST(PersistentStore, retriesARefusalWithBackoff) {
+TEST(RetryingStore, retriesARefusalWithBackoff) {
   direct.fault = FakeFault::Busy;
   append(seconds(2));
   timers.advance(seconds(1));
@@ -71,7 +71,7 @@
   CHECK_TRUE(appended());
 }
 
-TEST(PersistentStore, returnsTheLastErrorAtTheTimeLimit) {
+TEST(RetryingStore, returnsTheLastErrorAtTheTimeLimit) {
   direct.fault = FakeFault::Busy;
   append(milliseconds(500));
   timers.advance(seconds(2));
@@ -79,18 +79,18 @@
   CHECK(std::get<StoreError>(*result).fault == StoreFault::Busy);
 }
 
-TEST(PersistentStore, detectsAnOutageAndItsEnd) {
-  CHECK_TRUE(store.answers(partition));
+TEST(RetryingStore, detectsAnOutageAndItsEnd) {
+  CHECK_TRUE(store.isLikelyAvailable(partition));
   direct.fault = FakeFault::Busy;
   append(seconds(3));
   timers.advance(milliseconds(150));
-  CHECK_FALSE(store.answers(partition));
+  CHECK_FALSE(store.isLikelyAvailable(partition));
   direct.fault = FakeFault::None;
   timers.advance(seconds(1));
-  CHECK_TRUE(store.answers(partition));
+  CHECK_TRUE(store.isLikelyAvailable(partition));
 }
 
-TEST(PersistentStore, failuresOfOnePartitionDoNotAffectOthers) {
+TEST(RetryingStore, failuresOfOnePartitionDoNotAffectOthers) {
   const PartitionAddress other{"t", 4};
   direct.fault = FakeFault::Busy;
   append(milliseconds(100));
@@ -98,10 +98,10 @@
   direct.fault = FakeFault::None;
   store.append({other, {"record"}, seconds(1)}, [](const StoreResult<AppendReply>&) {});
   timers.advance(milliseconds(6));
-  CHECK_TRUE(store.answers(other));
+  CHECK_TRUE(store.isLikelyAvailable(other));
 }
 
-TEST(PersistentStore, triesAppendsAgainAtOnceWhenTheStoreAnswersAnythingAfterASilence) {
+TEST(RetryingStore, triesAppendsAgainAtOnceWhenTheStoreAnswersAnythingAfterASilence) {
   direct.fault = FakeFault::Silent;
   append(seconds(9));
   for (std::uint32_t number = 10; number < 15; ++number) {
@@ -109,7 +109,7 @@
                  [](const StoreResult<AppendReply>&) {});
   }
   timers.advance(milliseconds(950));
-  CHECK_FALSE(store.answers({"t", 4}));
+  CHECK_FALSE(store.isLikelyAvailable({"t", 4}));
   direct.fault = FakeFault::None;
   const int before = direct.appends;
   store.append({{"t", 4}, {"record"}, seconds(1)}, [](const StoreResult<AppendReply>&) {});
--- a/tests/logstore/topic_gateway_test.cpp
+++ b/tests/logstore/topic_gateway_test.cpp
@@ -24,11 +24,11 @@
   void read(ReadRequest request, StoreCallback<ReadReply> callback) override {
     gateway_.read(request, std::move(callback));
   }
-  void newest(NewestRequest request, StoreCallback<NewestReply> callback) override {
+  void listLatest(NewestRequest request, StoreCallback<NewestReply> callback) override {
     if (listsStore) {
-      store_.newest(std::move(request), std::move(callback));
+      store_.listLatest(std::move(request), std::move(callback));
     } else {
-      gateway_.newest(request, std::move(callback));
+      gateway_.listLatest(request, std::move(callback));
     }
   }
 
@@ -81,7 +81,7 @@
       };
       observer.onListed = [](const std::vector<std::string>&) {};
       observer.onFresh = [](Instant) {};
-      observer.onStale = [](const StoreError&) {};
+      observer.onReadFailed = [](const StoreError&) {};
       followers.push_back(std::make_shared<KeyedTopicFollower>(
           *store, timers, [this] { return timers.now; }, partition,
           KeyedTopicFollowerKnobs{Duration::zero(), milliseconds(300), milliseconds(500)}, observer,
@@ -143,8 +143,8 @@
   CHECK(std::get<StoreError>(readFrom(0)).fault == StoreFault::Busy);
   LONGS_EQUAL(0, log.reads);
   std::optional<StoreResult<NewestReply>> listed;
-  gateway->newest({partition, {}},
-                  [&listed](const StoreResult<NewestReply>& result) { listed = result; });
+  gateway->listLatest({partition, {}},
+                      [&listed](const StoreResult<NewestReply>& result) { listed = result; });
   timers.advance(seconds(1));
   CHECK(std::get<StoreError>(*listed).fault == StoreFault::Busy);
 }
--- a/tests/platform/damaged_documents_test.cpp
+++ b/tests/platform/damaged_documents_test.cpp
@@ -151,7 +151,7 @@
   }
   logstore::StoreResult<logstore::NewestReply> decodeListing(const std::string& body) {
     logstore::StoreResult<logstore::NewestReply> got = logstore::NewestReply{};
-    store.newest(
+    store.listLatest(
         {{"keyed.op", 0}, "", seconds(1)},
         [&got](logstore::StoreResult<logstore::NewestReply> result) { got = std::move(result); });
     client.last().handler.onDone({200, {}, body});
--- a/tests/platform/documents_fuzz_test.cpp
+++ b/tests/platform/documents_fuzz_test.cpp
@@ -214,23 +214,23 @@
 TEST(DocumentsFuzz, listings) {
   checkAll("listing", mutationsOf(kListingResponse), [this](const std::string& body) {
     std::string fault;
-    store.newest({{"keyed.op", 0}, "", seconds(1)},
-                 [&](const logstore::StoreResult<logstore::NewestReply>& result) {
-                   const auto* const reply = std::get_if<logstore::NewestReply>(&result);
-                   if (reply == nullptr) {
-                     return;
-                   }
-                   const Json written = Json::parse(body, nullptr, false);
-                   const Json& items = written["items"];
-                   fault = items.size() == reply->items.size() ? "" : "the items differ";
-                   for (std::size_t index = 0; fault.empty() && index < items.size(); ++index) {
-                     const logstore::KeyedItem& item = reply->items[index];
-                     const std::string value = items[index]["value"];
-                     const bool same = hasString(items[index], "privateKey", item.key) &&
-                                       item.value == decodeBase64(value).value_or(value);
-                     fault = same ? "" : "an item differs";
-                   }
-                 });
+    store.listLatest({{"keyed.op", 0}, "", seconds(1)},
+                     [&](const logstore::StoreResult<logstore::NewestReply>& result) {
+                       const auto* const reply = std::get_if<logstore::NewestReply>(&result);
+                       if (reply == nullptr) {
+                         return;
+                       }
+                       const Json written = Json::parse(body, nullptr, false);
+                       const Json& items = written["items"];
+                       fault = items.size() == reply->items.size() ? "" : "the items differ";
+                       for (std::size_t index = 0; fault.empty() && index < items.size(); ++index) {
+                         const logstore::KeyedItem& item = reply->items[index];
+                         const std::string value = items[index]["value"];
+                         const bool same = hasString(items[index], "privateKey", item.key) &&
+                                           item.value == decodeBase64(value).value_or(value);
+                         fault = same ? "" : "an item differs";
+                       }
+                     });
     client.last().handler.onDone({200, {}, body});
     client.exchanges.clear();
     return fault;
--- a/tests/platform/store_calls_test.cpp
+++ b/tests/platform/store_calls_test.cpp
@@ -58,8 +58,8 @@
 }
 
 TEST(StoreCalls, listsTheNewestRecordOfEachKey) {
-  store.newest({{"keyed.op", 0}, "a key/1", seconds(1)},
-               [this](StoreResult<NewestReply> result) { newest = std::move(result); });
+  store.listLatest({{"keyed.op", 0}, "a key/1", seconds(1)},
+                   [this](StoreResult<NewestReply> result) { newest = std::move(result); });
   STRCMP_EQUAL("/v1/log-newest?topic=keyed.op&part=0&after=a%20key%2F1",
                client.last().request.target.c_str());
   answer(200,
