--- a/lab/faultsoak/soak_program.cpp
+++ b/lab/faultsoak/soak_program.cpp
@@ -190,11 +190,12 @@
   request.timeLimit = kDeadline;
   request.connectTimeLimit = milliseconds(500);
   const Duration timeLeft = std::max(Duration::zero(), finishAt_ - steadyNow());
-  request.headers = {{"Host", "h"},
-                     {platform::header::kFinish, std::to_string(timeLeft / milliseconds(1))},
-                     {platform::header::kRequestId, attempt.id},
-                     {platform::header::kProgram, id_},
-                     {platform::header::kDeadline, std::to_string(kDeadline.count() / 1000)}};
+  request.headers = {
+      {"Host", "h"},
+      {platform::header::kProgramTimeLeftMs, std::to_string(timeLeft / milliseconds(1))},
+      {platform::header::kRequestId, attempt.id},
+      {platform::header::kProgramId, id_},
+      {platform::header::kDeadlineMs, std::to_string(kDeadline.count() / 1000)}};
   const bool isTurn = attempt.route == SoakRoute::Turn || attempt.route == SoakRoute::Resumable;
   if (isTurn) {
     request.headers.push_back({platform::header::kTokenBudget, std::to_string(budget_)});
--- a/tests/lab_platform/whole_node.h
+++ b/tests/lab_platform/whole_node.h
@@ -14,8 +14,8 @@
 
 #include "edge/edge_daemon.h"
 #include "platform/documents.h"
-#include "platform/heads.h"
-#include "platform/store_calls.h"
+#include "platform/http_headers.h"
+#include "platform/http_log_store.h"
 
 namespace gorsetrail::lab::testing {
 
@@ -92,9 +92,9 @@
   http::HttpClientPtr storeClient_;
   http::HttpClientPtr replicaClient_;
   http::HttpClientPtr peerClient_;
-  platform::StoreCalls store_;
+  platform::HttpLogStore store_;
   tenant::ApiKeyHasher hasher_{tenant::ApiKeyHasher::Secret{1}};
-  platform::HeadAdapter heads_{hasher_};
+  platform::HttpHeaderAdapter heads_{hasher_};
   platform::JsonDocumentAdapter documents_{hasher_};
   edge::EdgeSettings settings_;
   std::unique_ptr<edge::EdgeDaemon> daemon_;
--- a/tests/platform/damaged_documents_test.cpp
+++ b/tests/platform/damaged_documents_test.cpp
@@ -8,10 +8,10 @@
 #include "base/text_check.h"
 #include "dispatch/fake_http_client.h"
 #include "platform/documents.h"
+#include "platform/http_log_store.h"
 #include "platform/json_fields.h"
 #include "platform/settings_file.h"
-#include "platform/store_calls.h"
-#include "whole_documents.h"
+#include "valid_documents.h"
 // CppUTest redefines `new`: it comes after the standard headers.
 #include <CppUTest/TestHarness.h>
 
@@ -140,7 +140,7 @@
   tenant::ApiKeyHasher hasher{tenant::ApiKeyHasher::Secret{5}};
   JsonDocumentAdapter adapter{hasher};
   node::testing::FakeHttpClient client;
-  StoreCalls store{client, "10.200.1.7:8142"};
+  HttpLogStore store{client, "10.200.1.7:8142"};
 
   void checkRegistrationRejected(const std::string& document, const char* field) {
     const auto read = adapter.readReplicaEntry("i-1", document);
--- a/tests/platform/documents_fuzz_test.cpp
+++ b/tests/platform/documents_fuzz_test.cpp
@@ -13,9 +13,9 @@
 #include "dispatch/fake_http_client.h"
 #include "http/address.h"
 #include "platform/documents.h"
+#include "platform/http_log_store.h"
 #include "platform/json_fields.h"
-#include "platform/store_calls.h"
-#include "whole_documents.h"
+#include "valid_documents.h"
 // CppUTest redefines `new`: it comes after the standard headers.
 #include "fuzz_fixture.h"
 
@@ -144,7 +144,7 @@
   tenant::ApiKeyHasher hasher{tenant::ApiKeyHasher::Secret{5}};
   JsonDocumentAdapter adapter{hasher};
   node::testing::FakeHttpClient client;
-  StoreCalls store{client, "10.200.1.7:8142"};
+  HttpLogStore store{client, "10.200.1.7:8142"};
 
   void teardown() override {
     // Freed while leak checks are off, because the exchanges were allocated while they were off.
--- a/tests/platform/heads_fuzz_test.cpp
+++ b/tests/platform/http_headers_fuzz_test.cpp
@@ -1,5 +1,5 @@
 // Guards against client headers that reach a replica under a name that only the edge may set.
-#include "platform/heads.h"
+#include "platform/http_headers.h"
 
 #include "base/random.h"
 
@@ -60,7 +60,7 @@
 
 TEST_GROUP(HeadsFuzz) {
   tenant::ApiKeyHasher hasher{tenant::ApiKeyHasher::Secret{5}};
-  HeadAdapter adapter{hasher};
+  HttpHeaderAdapter adapter{hasher};
 };
 
 TEST(HeadsFuzz, replicasGetOnlyTheEdgesOwnValues) {
--- a/tests/platform/heads_test.cpp
+++ b/tests/platform/http_headers_test.cpp
@@ -1,5 +1,5 @@
 // Guards the translation between the platform's HTTP headers and the edge's types.
-#include "platform/heads.h"
+#include "platform/http_headers.h"
 
 #include <algorithm>
 #include <cctype>
@@ -41,7 +41,7 @@
 
 TEST_GROUP(Heads) {
   tenant::ApiKeyHasher hasher{tenant::ApiKeyHasher::Secret{5}};
-  HeadAdapter adapter{hasher};
+  HttpHeaderAdapter adapter{hasher};
 };
 
 TEST(Heads, readsARequest) {
--- a/tests/platform/store_calls_test.cpp
+++ b/tests/platform/http_log_store_test.cpp
@@ -1,5 +1,5 @@
 // Guards the HTTP requests to the log store and the decoding of its responses.
-#include "platform/store_calls.h"
+#include "platform/http_log_store.h"
 
 #include <optional>
 
@@ -11,9 +11,9 @@
 using namespace gorsetrail::logstore;
 using namespace gorsetrail::platform;
 
-TEST_GROUP(StoreCalls) {
+TEST_GROUP(HttpLogStore) {
   node::testing::FakeHttpClient client;
-  StoreCalls store{client, "10.200.1.7:8142"};
+  HttpLogStore store{client, "10.200.1.7:8142"};
   std::optional<StoreResult<AppendReply>> appended;
   std::optional<StoreResult<ReadReply>> read;
   std::optional<StoreResult<NewestReply>> newest;
@@ -31,7 +31,7 @@
   }
 };
 
-TEST(StoreCalls, encodesRecordsForAnAppend) {
+TEST(HttpLogStore, encodesRecordsForAnAppend) {
   append();
   STRCMP_EQUAL("/v1/log-append?topic=work&part=3", client.last().request.target.c_str());
   CHECK(client.last().request.body == std::string("\0\0\0\2ab\0\0\0\1c", 11));
@@ -39,7 +39,7 @@
   LONGS_EQUAL(840, std::get<AppendReply>(*appended).offset);
 }
 
-TEST(StoreCalls, readsRecords) {
+TEST(HttpLogStore, readsRecords) {
   readFrom(840);
   STRCMP_EQUAL("/v1/log-read?topic=work&part=3&rangeStart=840&max_kb=256&waitMs=20",
                client.last().request.target.c_str());
@@ -51,13 +51,13 @@
   STRCMP_EQUAL("ab", reply.records[0].c_str());
 }
 
-TEST(StoreCalls, treatsATruncatedRecordAsNoAnswer) {
+TEST(HttpLogStore, treatsATruncatedRecordAsNoAnswer) {
   readFrom(0);
   answer(200, std::string("\0\0\0\0\0\0\0\1\0\0\0\0\0\0\0\0\0\0\0\5ab", 22));
   CHECK(std::get<StoreError>(*read).fault == StoreFault::NoAnswer);
 }
 
-TEST(StoreCalls, listsTheNewestRecordOfEachKey) {
+TEST(HttpLogStore, listsTheNewestRecordOfEachKey) {
   store.listLatest({{"keyed.op", 0}, "a key/1", seconds(1)},
                    [this](StoreResult<NewestReply> result) { newest = std::move(result); });
   STRCMP_EQUAL("/v1/log-newest?topic=keyed.op&part=0&after=a%20key%2F1",
@@ -70,7 +70,7 @@
   LONGS_EQUAL(6, reply.end);
 }
 
-TEST(StoreCalls, mapsStatusCodesToFaults) {
+TEST(HttpLogStore, mapsStatusCodesToFaults) {
   const std::vector<std::pair<unsigned, StoreFault>> cases = {{429, StoreFault::Throttled},
                                                               {503, StoreFault::Busy},
                                                               {410, StoreFault::Compacted},
@@ -85,7 +85,7 @@
   CHECK(std::get<StoreError>(*read).fault == StoreFault::NoAnswer);
 }
 
-TEST(StoreCalls, readsTheFirstKeptOffsetAfterACompaction) {
+TEST(HttpLogStore, readsTheFirstKeptOffsetAfterACompaction) {
   readFrom(0);
   answer(410, R"({"first":12})");
   LONGS_EQUAL(12, std::get<StoreError>(*read).firstKept);
--- a/tests/platform/records_fuzz_test.cpp
+++ b/tests/platform/records_fuzz_test.cpp
@@ -10,10 +10,10 @@
 #include "edge/member_table.h"
 #include "http/address.h"
 #include "platform/documents.h"
-#include "platform/heads.h"
+#include "platform/http_headers.h"
 #include "platform/json_fields.h"
 #include "platform/settings_file.h"
-#include "whole_documents.h"
+#include "valid_documents.h"
 // CppUTest redefines `new`: it comes after the standard headers.
 #include "fuzz_fixture.h"
 
@@ -45,7 +45,7 @@
 TEST_GROUP_BASE(RecordsFuzz, gorsetrail::testing::FuzzFixture) {
   tenant::ApiKeyHasher hasher{tenant::ApiKeyHasher::Secret{5}};
   JsonDocumentAdapter adapter{hasher};
-  HeadAdapter heads{hasher};
+  HttpHeaderAdapter heads{hasher};
 };
 
 TEST(RecordsFuzz, settings) {
