--- a/src/edge/edge_daemon_figures.cpp
+++ b/src/edge/edge_daemon_figures.cpp
@@ -44,11 +44,11 @@
   values.turnsNotStored = context_.retention.counters().notStored;
   const http::HttpServerCounters callers = clientServer_->counters();
   values.requestsOpen = callers.responsesOpen;
-  values.bytesUntaken = callers.bytesUntaken;
-  values.callersCut = callers.callersCut;
+  values.unreadBytes = callers.unreadBytes;
+  values.connectionsClosedForUnreadBytes = callers.connectionsClosedForUnreadBytes;
   values.replicas = replicas_.size();
   values.replicasCold = coldReplicas_.coldReplicas();
-  values.coldReplicasSkipped = coldReplicas_.passedOver();
+  values.coldReplicasSkipped = coldReplicas_.exclusionCount();
   values.members = members_.liveMembers().size();
   values.membersSuspectedOrDead = peerMonitor_.suspectedOrDeadNodes();
   values.configurationVersion = routes_.inForce() ? routes_.inForce()->version.value() : 0;
--- a/src/edge/edge_metrics.cpp
+++ b/src/edge/edge_metrics.cpp
@@ -177,9 +177,9 @@
   }
   list.gauge("requests_open", "Read and not yet answered", snapshot.requestsOpen);
   list.gauge("answer_bytes_untaken", "Bytes of answers that callers do not take",
-             snapshot.bytesUntaken);
+             snapshot.unreadBytes);
   list.counter("callers_cut_total", "Callers cut since too many bytes were left untaken",
-               snapshot.callersCut);
+               snapshot.connectionsClosedForUnreadBytes);
   list.counter("dispatches_total", "Requests sent to replicas", snapshot.dispatches);
   list.counter("retries_total", "Dispatches after the first of a request", snapshot.retries);
   list.counter("resumes_total", "Streams that went on after a cut", snapshot.resumes);
--- a/src/edge/edge_metrics.h
+++ b/src/edge/edge_metrics.h
@@ -64,9 +64,9 @@
   std::uint64_t turnsStoredLate = 0;
   std::uint64_t turnsNotStored = 0;  ///< Their streams were aborted.
   std::uint64_t requestsOpen = 0;    ///< Gauge.
-  std::uint64_t bytesUntaken = 0;    ///< Gauge: response bytes that clients have not read yet.
+  std::uint64_t unreadBytes = 0;     ///< Gauge: response bytes that clients have not read yet.
   /// Client connections closed because too many response bytes were unread.
-  std::uint64_t callersCut = 0;
+  std::uint64_t connectionsClosedForUnreadBytes = 0;
   std::uint64_t replicas = 0;      ///< Gauge.
   std::uint64_t replicasCold = 0;  ///< Gauge.
   /// Placements from which a replica was excluded because it is or may be cold.
--- a/src/edge/exchange.cpp
+++ b/src/edge/exchange.cpp
@@ -192,7 +192,7 @@
   switch (outlook) {
     case ledger::ReservationOutlook::Likely:
       break;
-    case ledger::ReservationOutlook::Doubtful:
+    case ledger::ReservationOutlook::Uncertain:
       return context_.knobs.uncertainReservationTimeout;
     case ledger::ReservationOutlook::Unlikely:
       return context_.knobs.failingReservationTimeout;
--- a/src/edge/exchange_liveness.cpp
+++ b/src/edge/exchange_liveness.cpp
@@ -33,13 +33,13 @@
     noAnswerRecorded_ = true;
     recordOutcome(true);
   }
-  const Instant heardAt = std::max(replica_->heardAt, dispatchedAt_);
-  if (context_.clock() - heardAt < context_.knobs.reachabilityCheckDelay) {
+  const Instant lastDataAt = std::max(replica_->lastDataAt, dispatchedAt_);
+  if (context_.clock() - lastDataAt < context_.knobs.reachabilityCheckDelay) {
     startNoDataTimer();
     return;
   }
-  checkReplicaReachability([heardAt](Exchange& self, Reachability reach) {
-    const bool heardSince = self.replica_->heardAt > heardAt;
+  checkReplicaReachability([lastDataAt](Exchange& self, Reachability reach) {
+    const bool heardSince = self.replica_->lastDataAt > lastDataAt;
     if (!self.call_) {
       return;
     }
--- a/src/edge/exchange_refusals.cpp
+++ b/src/edge/exchange_refusals.cpp
@@ -27,8 +27,8 @@
                            {"stage", routing::workStageName(stage())},
                            {"priority", std::uint64_t{checked_.priority}},
                            {"prompt_tokens", request_.promptTokens},
-                           {"replica", refused.judged->entry.id},
-                           {"load_percent", percentOf(refused.judged->loadPerSlot())},
+                           {"replica", refused.cheapestReplica->entry.id},
+                           {"load_percent", percentOf(refused.cheapestReplica->loadPerSlot())},
                            {"least_load_percent", percentOf(refused.leastLoadPerSlot)}});
   refuse({kUnavailable, "replicas_busy", context_.knobs.retryAfterOverload});
 }
--- a/src/edge/exchange_replica.cpp
+++ b/src/edge/exchange_replica.cpp
@@ -88,7 +88,7 @@
     return;
   }
   headReceived_ = true;
-  replica_->heardAt = context_.clock();
+  replica_->lastDataAt = context_.clock();
   head_ = context_.wire.readReplicaHead(status, headers);
   if (!streamBegun_) {
     replicaHeaders_ = context_.wire.clientHeaders(headers);
@@ -108,7 +108,7 @@
   if (ended_) {
     return;
   }
-  replica_->heardAt = context_.clock();
+  replica_->lastDataAt = context_.clock();
   const bool passesEvents = isStreaming() && head_.eventStream && head_.status == kOk;
   if (!passesEvents) {
     body_ += part;
--- a/src/edge/load_exchange.cpp
+++ b/src/edge/load_exchange.cpp
@@ -36,8 +36,9 @@
   }
   const auto list = builder.CreateVectorOfStructs(loads);
   const auto troubleList = troubles.empty() ? 0 : builder.CreateVectorOfStructs(troubles);
-  fbs::FinishLoadDigestBuffer(builder, fbs::CreateLoadDigest(builder, digest.node, digest.beat,
-                                                             list, troubleList, digest.region));
+  fbs::FinishLoadDigestBuffer(
+      builder, fbs::CreateLoadDigest(builder, digest.node, digest.digestSequence, list, troubleList,
+                                     digest.region));
   return {reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()};
 }
 
@@ -51,7 +52,7 @@
   const fbs::LoadDigest* const read = fbs::GetLoadDigest(begin);
   routing::LoadDigest digest;
   digest.node = read->node();
-  digest.beat = read->beat();
+  digest.digestSequence = read->beat();
   digest.region = read->region();
   if (read->loads() != nullptr) {
     for (const fbs::ReplicaLoad* const load : *read->loads()) {
@@ -119,7 +120,7 @@
   }
   unchangedSends_ = 0;
   lastLoads_ = std::move(loads);
-  digest.beat = ++digestSequence_;
+  digest.digestSequence = ++digestSequence_;
   const std::string datagram = encodeLoadDigest(digest);
   sendToRandomPeers(peers.sameRegion, knobs_.maximumPeers, datagram);
   sendToRandomPeers(peers.otherRegions, knobs_.maximumOtherRegionPeers, datagram);
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -92,8 +92,8 @@
   std::uint64_t bytesWritten = 0;
   std::uint64_t connectionsOpen = 0;  ///< Gauge.
   std::uint64_t responsesOpen = 0;    ///< Gauge: requests read whole, responses not yet written.
-  std::uint64_t bytesUntaken = 0;     ///< Gauge: of responses, that callers do not take.
-  std::uint64_t callersCut = 0;       ///< For `maximumUntakenBytes`.
+  std::uint64_t unreadBytes = 0;      ///< Gauge: of responses, that callers do not take.
+  std::uint64_t connectionsClosedForUnreadBytes = 0;  ///< For `maximumUntakenBytes`.
 };
 
 struct HttpServerOptions {
--- a/src/http/server_connection.h
+++ b/src/http/server_connection.h
@@ -94,7 +94,7 @@
   ResponseObserver observer_;
   std::string outgoing_;          ///< Bytes of the response that wait for the write under way.
   std::string inFlight_;          ///< Bytes of the write under way.
-  std::size_t untakenBytes_ = 0;  ///< As counted in `HttpServerCounters::bytesUntaken`.
+  std::size_t untakenBytes_ = 0;  ///< As counted in `HttpServerCounters::unreadBytes`.
   std::array<char, 512> discarded_{};
   std::size_t discardedBytes_ = 0;
   bool watching_ = false;        ///< A wait for readability is under way.
--- a/src/http/server_connection_writing.cpp
+++ b/src/http/server_connection_writing.cpp
@@ -135,13 +135,13 @@
 }
 
 bool ServerConnection::holdUntaken(std::size_t bytes) {
-  std::uint64_t& all = shared_->counters.bytesUntaken;
+  std::uint64_t& all = shared_->counters.unreadBytes;
   all = all - untakenBytes_ + bytes;
   untakenBytes_ = bytes;
   if (bytes == 0 || all <= shared_->options.knobs.maximumUntakenBytes) {
     return true;
   }
-  ++shared_->counters.callersCut;
+  ++shared_->counters.connectionsClosedForUnreadBytes;
   callerGone();
   return false;
 }
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -42,10 +42,10 @@
 
 /// Whether reservations of a budget partition are expected to be decided.
 enum class ReservationOutlook : std::uint8_t {
-  Likely,    ///< No recent failure.
-  Doubtful,  ///< The last one failed, or the store does not answer this node. The coordinator's
-             ///< lease may still decide.
-  Unlikely,  ///< Several failed recently; the coordinator's lease may still decide.
+  Likely,     ///< No recent failure.
+  Uncertain,  ///< The last one failed, or the store does not answer this node. The coordinator's
+              ///< lease may still decide.
+  Unlikely,   ///< Several failed recently; the coordinator's lease may still decide.
 };
 
 /// Zones that may store a turn, nearest first; empty: no restriction.
--- a/src/ledger/routed_ledger.cpp
+++ b/src/ledger/routed_ledger.cpp
@@ -395,8 +395,8 @@
   const auto undecided = undecidedReportedAt_.find(partition);
   const bool isUndecided = undecided != undecidedReportedAt_.end() &&
                            clock_() - undecided->second < knobs_.undecidedReportLifetime;
-  const bool isDoubtful = hasFailed || isUndecided || !service_.answers(partition);
-  return isDoubtful ? ReservationOutlook::Doubtful : ReservationOutlook::Likely;
+  const bool isUncertain = hasFailed || isUndecided || !service_.answers(partition);
+  return isUncertain ? ReservationOutlook::Uncertain : ReservationOutlook::Likely;
 }
 
 void RoutedLedger::updateUndecidedReport(const Call& call, const LedgerReply& reply) {
--- a/src/routing/cold_replica_rule.cpp
+++ b/src/routing/cold_replica_rule.cpp
@@ -219,7 +219,7 @@
 
 bool ColdReplicaRule::isResponsive(const Replica& replica, Instant now) const {
   return replica.isResponsive && replica.failures == 0 &&
-         now - replica.heardAt < knobs_.responsiveWithin;
+         now - replica.lastDataAt < knobs_.responsiveWithin;
 }
 
 std::optional<ColdGrant> ColdReplicaRule::grantOf(const Replica& replica, Instant now) const {
@@ -267,7 +267,7 @@
   return ExclusionReason::ColdRateExhausted;
 }
 
-void ColdReplicaRule::onExcluded(const Replica& /*replica*/) { ++passedOver_; }
+void ColdReplicaRule::onExcluded(const Replica& /*replica*/) { ++exclusionCount_; }
 
 void ColdReplicaRule::onSent(const Replica& replica, Instant now) {
   const bool isUnlimited = isStateKnown(now) && now >= replica.coldUntil && zoneReturnedAt_.empty();
@@ -295,7 +295,7 @@
   const Service* const service = sources_.serviceOf(replica.entry.service);
   replica.coldRequestsPerSecond = service == nullptr ? 0 : service->coldRequestsPerSecond;
   const bool cold = isCold(replica, now);
-  const bool answers = replica.failures == 0 && now - replica.heardAt < knobs_.responsiveWithin;
+  const bool answers = replica.failures == 0 && now - replica.lastDataAt < knobs_.responsiveWithin;
   replica.isResponsive = answers && !cold && (replica.isResponsive || isStateKnown(now));
   const bool isSender =
       cold && knobs_.sharing == ColdSharing::DesignatedSenders && isSenderOf(replica);
--- a/src/routing/cold_replica_rule.h
+++ b/src/routing/cold_replica_rule.h
@@ -162,7 +162,7 @@
   /// \return the number of replicas with a cold rate limit as of the last `updateColdStates`.
   [[nodiscard]] std::size_t limitedReplicas() const { return limitedReplicas_; }
   /// \return how often this rule excluded a replica from a placement.
-  [[nodiscard]] std::uint64_t passedOver() const { return passedOver_; }
+  [[nodiscard]] std::uint64_t exclusionCount() const { return exclusionCount_; }
 
  private:
   struct Bucket {
@@ -224,7 +224,7 @@
   std::map<std::string, Instant, std::less<>> unknownStateSentAt_;
   std::map<std::string, bool, std::less<>> cold_;  ///< Id to whether this node is a sender.
   std::size_t limitedReplicas_ = 0;
-  std::uint64_t passedOver_ = 0;
+  std::uint64_t exclusionCount_ = 0;
 };
 
 }  // namespace gorsetrail::routing
--- a/src/routing/fleet_load.cpp
+++ b/src/routing/fleet_load.cpp
@@ -28,8 +28,8 @@
 void FleetLoad::onDigest(LoadDigest digest, Instant now) {
   Entry& entry = byNode_[digest.node];
   // A restarted node restarts its sequence numbers, so any digest replaces an expired one.
-  const bool newer =
-      digest.beat > entry.digest.beat || now - entry.receivedAt > knobs_.digestExpiry;
+  const bool newer = digest.digestSequence > entry.digest.digestSequence ||
+                     now - entry.receivedAt > knobs_.digestExpiry;
   if (newer) {
     entry = {std::move(digest), now};
   }
--- a/src/routing/fleet_load.h
+++ b/src/routing/fleet_load.h
@@ -37,7 +37,8 @@
 /// Load report that a node sends to other nodes.
 struct LoadDigest {
   std::uint64_t node = 0;  ///< Hash of the node's address.
-  std::uint64_t beat = 0;  ///< Sequence number within one process; older digests are dropped.
+  /// Sequence number within one process; older digests are dropped.
+  std::uint64_t digestSequence = 0;
   std::vector<ReplicaLoad> loads;
   std::vector<ReplicaTrouble> troubles;  ///< Only replicas with failures.
   RegionHash region = 0;
--- a/src/routing/replica_placement.cpp
+++ b/src/routing/replica_placement.cpp
@@ -64,7 +64,7 @@
   ReplicaPtr witness;
   for (const ReplicaPtr& other : replicas_.all()) {
     const bool isOther = other->entry.address != replica.entry.address && other->acceptsRequests();
-    if (isOther && (!witness || other->heardAt > witness->heardAt)) {
+    if (isOther && (!witness || other->lastDataAt > witness->lastDataAt)) {
       witness = other;
     }
   }
--- a/src/routing/replica_placement.h
+++ b/src/routing/replica_placement.h
@@ -30,7 +30,7 @@
 
 /// Replicas are available, but admission control refused the request.
 struct RefusedByAdmission {
-  ReplicaPtr judged;            ///< The cheapest replica, which did not admit the request.
+  ReplicaPtr cheapestReplica;   ///< The cheapest replica, which did not admit the request.
   double leastLoadPerSlot = 0;  ///< Minimum over all replicas that the rules allow.
 };
 
--- a/src/routing/replica_table.h
+++ b/src/routing/replica_table.h
@@ -42,7 +42,7 @@
   bool startUntold = false;
   std::uint32_t inFlight = 0;  ///< This node's requests that run or wait there.
   double othersInFlight = 0;   ///< Other nodes' requests, estimated from their digests.
-  Instant heardAt;             ///< When this node last received a byte of a response from it.
+  Instant lastDataAt;          ///< When this node last received a byte of a response from it.
   std::uint32_t failures = 0;  ///< Consecutive connection errors, cut responses and timeouts.
   OutcomeTally outcomes;       ///< This node's recent requests there.
   double othersFailed = 0;     ///< Failed recent requests of other nodes.
--- a/tests/edge/exchange_stream_test.cpp
+++ b/tests/edge/exchange_stream_test.cpp
@@ -212,7 +212,7 @@
 
 TEST(ExchangeStream, dispatchesNothingIfADoubtfulReservationFails) {
   ScriptedLedger ledger({ledger::ReservationOutcome::Unavailable},
-                        ledger::ReservationOutlook::Doubtful);
+                        ledger::ReservationOutlook::Uncertain);
   EdgeContext context = contextWith(ledger);
   const auto client = startIn(context);
   LONGS_EQUAL(503, client->status);
@@ -420,7 +420,7 @@
   wait();
   for (int step = 0; step < 10; ++step) {
     for (const routing::ReplicaPtr& replica : world.replicas.all()) {
-      replica->heardAt = world.timers.now;
+      replica->lastDataAt = world.timers.now;
     }
     world.timers.advance(milliseconds(200));
   }
@@ -433,7 +433,7 @@
   const auto failed = [this] {
     double sum = 0;
     for (const routing::ReplicaPtr& replica : world.replicas.all()) {
-      replica->heardAt = world.timers.now;  // It answers other requests.
+      replica->lastDataAt = world.timers.now;  // It answers other requests.
       sum += replica->outcomes.failed(world.timers.now);
     }
     return sum;
--- a/tests/http/http_server_test.cpp
+++ b/tests/http/http_server_test.cpp
@@ -439,9 +439,9 @@
   for (const ResponseWriterPtr& writer : writers) {
     writer->sendWhole({200, {}, std::string(kAnswerBytes, 'x')});
   }
-  until([this] { return server->counters().callersCut > 0; });
-  CHECK(server->counters().bytesUntaken <= knobs.maximumUntakenBytes);
-  LONGS_EQUAL(server->counters().callersCut, gone);
+  until([this] { return server->counters().connectionsClosedForUnreadBytes > 0; });
+  CHECK(server->counters().unreadBytes <= knobs.maximumUntakenBytes);
+  LONGS_EQUAL(server->counters().connectionsClosedForUnreadBytes, gone);
   // A caller that reads is served beside them.
   RawClient reader(context, server->listeningPort());
   reader.startReading();
@@ -451,5 +451,5 @@
   until([&reader] { return reader.has("small"); });
   // Those that are gone free what was held for them.
   callers.clear();
-  until([this] { return server->counters().bytesUntaken == 0; });
+  until([this] { return server->counters().unreadBytes == 0; });
 }
--- a/tests/ledger/routed_ledger_test.cpp
+++ b/tests/ledger/routed_ledger_test.cpp
@@ -229,11 +229,11 @@
   log.fault = FakeFault::None;
   fleet.silent.clear();
   timers.advance(seconds(3));
-  CHECK(node.ledger.reservationOutlook("program") == ReservationOutlook::Doubtful);
+  CHECK(node.ledger.reservationOutlook("program") == ReservationOutlook::Uncertain);
   // A settlement succeeds in the coordinator's memory, so it does not show that reservations work.
   node.ledger.settle({"r1", "program", 0});
   timers.advance(seconds(1));
-  CHECK(node.ledger.reservationOutlook("program") == ReservationOutlook::Doubtful);
+  CHECK(node.ledger.reservationOutlook("program") == ReservationOutlook::Uncertain);
   CHECK(reserve(0, "r2", 1) == ReservationOutcome::Granted);
   CHECK(node.ledger.reservationOutlook("program") == ReservationOutlook::Likely);
 }
@@ -248,13 +248,13 @@
     fleet.node(number).ledger.settle({"r0", "program", 1});
   }
   timers.advance(milliseconds(10));
-  int doubtful = 0;
+  int uncertain = 0;
   for (int number = 0; number < 6; ++number) {
-    doubtful +=
+    uncertain +=
         fleet.node(number).ledger.reservationOutlook("program") == ReservationOutlook::Likely ? 0
                                                                                               : 1;
   }
-  LONGS_EQUAL(6, doubtful);
+  LONGS_EQUAL(6, uncertain);
 }
 
 TEST(RoutedLedger, aCallEndsWhenOneHomeIsDeadAndTheOtherSaysThatTheStoreDoesNotAnswer) {
--- a/tests/routing/cold_replica_fleet_test.cpp
+++ b/tests/routing/cold_replica_fleet_test.cpp
@@ -326,7 +326,7 @@
       if (!node.rule->exclusionOf(replica, {}, now_)) {
         node.rule->onSent(replica, now_);
         if (!scenario_.isUnresponsiveBefore || now_ >= simulatedReplicas_[index].coldFrom) {
-          node.replicas[index]->heardAt = now_;
+          node.replicas[index]->lastDataAt = now_;
         }
         recordArrival(simulatedReplicas_[index]);
       }
--- a/tests/routing/cold_replica_rule_test.cpp
+++ b/tests/routing/cold_replica_rule_test.cpp
@@ -211,9 +211,9 @@
   query.replica.affinityKey = "p1";
   const auto none = std::get<NoReplica>(placement.place(query, now));
   CHECK(ExclusionReason::ColdRateExhausted == none.reason.value());
-  LONGS_EQUAL(1, rule->passedOver());
+  LONGS_EQUAL(1, rule->exclusionCount());
   CHECK(std::holds_alternative<NoReplica>(placement.place(query, now)));
-  LONGS_EQUAL(2, rule->passedOver());
+  LONGS_EQUAL(2, rule->exclusionCount());
 }
 
 TEST(ColdReplicaRule, aNodeThatBecomesASenderAgainStartsWithoutTokens) {
@@ -261,7 +261,7 @@
   members = {{"b"}};
   const Instant heardAt = now;
   for (; now < heardAt + seconds(4); now += milliseconds(100)) {
-    used->heardAt = now;
+    used->lastDataAt = now;
     rule->updateColdStates({replica, used}, now);
   }
   CHECK_FALSE(rule->isStateKnown(now));
@@ -275,7 +275,7 @@
   used->failures = 1;
   rule->updateColdStates({replica, used}, now);
   used->failures = 0;
-  used->heardAt = now;
+  used->lastDataAt = now;
   rule->updateColdStates({replica, used}, now);
   CHECK(rule->exclusionOf(*used, {}, now).has_value());
   rule->onEvacuationsFresh(now);
--- a/tests/routing/fleet_load_test.cpp
+++ b/tests/routing/fleet_load_test.cpp
@@ -19,9 +19,9 @@
     table.upsert(entry);
     replica = table.ofService("s").front();
   }
-  void receiveDigest(std::uint64_t node, std::uint64_t beat, std::uint16_t inFlight,
+  void receiveDigest(std::uint64_t node, std::uint64_t digestSequence, std::uint16_t inFlight,
                      RegionHash region = 0) {
-    load.onDigest({node, beat, {{replicaHashOf("a"), inFlight}}, {}, region}, now);
+    load.onDigest({node, digestSequence, {{replicaHashOf("a"), inFlight}}, {}, region}, now);
   }
   double others(std::size_t otherNodes) {
     load.apply(table, {otherNodes, 0}, now);
--- a/tests/routing/replica_life_test.cpp
+++ b/tests/routing/replica_life_test.cpp
@@ -81,7 +81,7 @@
   const ReplicaPtr earlier = only();
   earlier->inFlight = 3;
   earlier->othersInFlight = 2;
-  earlier->heardAt = now;
+  earlier->lastDataAt = now;
   earlier->failures = 4;
   earlier->outcomes.note(true, now);
   earlier->outcomes.note(true, now);
@@ -102,7 +102,7 @@
   DOUBLES_EQUAL(0, later->load(), 1e-9);
   DOUBLES_EQUAL(0, later->failureShare(now), 1e-9);
   LONGS_EQUAL(0, later->failures);
-  CHECK(later->heardAt == Instant{});
+  CHECK(later->lastDataAt == Instant{});
   CHECK(later->suspectUntil == Instant{});
   CHECK(later->fullUntil == Instant{});
   CHECK(later->coldUntil == Instant{});
@@ -322,7 +322,7 @@
 
 TEST(ColdReplicaLife, aRestartedReplicaIsNotResponsiveInUnknownState) {
   const ReplicaPtr earlier = registers(kFirstStart, Duration::zero());
-  earlier->heardAt = now;
+  earlier->lastDataAt = now;
   changes();
   CHECK_TRUE(earlier->isResponsive);
   const ReplicaPtr later = registers(kSecondStart, Duration::zero());
--- a/tests/routing/replica_placement_test.cpp
+++ b/tests/routing/replica_placement_test.cpp
@@ -226,7 +226,7 @@
   PlacementQuery turn = longTurn("program", "q0");
   turn.admission->stage = WorkStage::FirstTurn;
   const auto taken = std::get<RefusedByAdmission>(withoutRules.place(turn, now));
-  POINTERS_EQUAL(preferred.get(), taken.judged.get());
+  POINTERS_EQUAL(preferred.get(), taken.cheapestReplica.get());
   DOUBLES_EQUAL(0.75, taken.leastLoadPerSlot, 1e-9);
 }
 
