--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -93,8 +93,9 @@
   std::uint64_t bytesWritten = 0;
   std::uint64_t connectionsOpen = 0;  ///< Gauge.
   std::uint64_t responsesOpen = 0;    ///< Gauge: received requests without a complete response.
-  std::uint64_t bytesUntaken = 0;     ///< Gauge, limited by `maximumUntakenBytes`.
-  std::uint64_t callersCut = 0;       ///< Connections closed because of `maximumUntakenBytes`.
+  std::uint64_t unreadBytes = 0;      ///< Gauge, limited by `maximumUntakenBytes`.
+  std::uint64_t connectionsClosedForUnreadBytes =
+      0;  ///< Connections closed because of `maximumUntakenBytes`.
 };
 
 struct HttpServerOptions {
--- a/src/http/server_connection.h
+++ b/src/http/server_connection.h
@@ -73,7 +73,7 @@
   void scheduleFlush();
   void flush();
   void writeRest(std::size_t taken);
-  /// Updates `HttpServerCounters::bytesUntaken` and closes the connection if the sum exceeds
+  /// Updates `HttpServerCounters::unreadBytes` and closes the connection if the sum exceeds
   /// `maximumUntakenBytes`.
   /// \return whether the connection stays open.
   bool updateUnreadBytes(std::size_t bytes);
@@ -98,7 +98,7 @@
   ResponseObserver observer_;
   std::string outgoing_;         ///< Response bytes queued for the next write.
   std::string inFlight_;         ///< Bytes of the write in progress.
-  std::size_t unreadBytes_ = 0;  ///< Share of this connection in `bytesUntaken`.
+  std::size_t unreadBytes_ = 0;  ///< Share of this connection in `unreadBytes`.
   std::array<char, 512> discarded_{};
   std::size_t discardedBytes_ = 0;
   bool waitingForReadable_ = false;  ///< A wait for readability is pending.
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -46,7 +46,7 @@
   Likely,
   /// The last one failed, or the store does not answer this node. The coordinator's lease may still
   /// decide.
-  Doubtful,
+  Uncertain,
   /// Several failed recently; the coordinator's lease may still decide.
   Unlikely,
 };
--- a/tests/edge/exchange_stream_test.cpp
+++ b/tests/edge/exchange_stream_test.cpp
@@ -157,7 +157,7 @@
 
 TEST(ExchangeStream, doesNotClaimNotExecutedIfTheBudgetIsSpentAfterTheDispatch) {
   // Another node has reserved most of the budget, which this node has not read yet.
-  logstore::PersistentStore otherStore(
+  logstore::RetryingStore otherStore(
       world.log, world.timers, [this] { return world.timers.now; }, {}, 2);
   ledger::ProgramLedger other(otherStore, world.timers, [this] { return world.timers.now; }, {});
   other.reserve({{"elsewhere", "program", 900}, 1000, {}}, seconds(1),
@@ -212,7 +212,7 @@
 
 TEST(ExchangeStream, dispatchesNothingIfADoubtfulReservationFails) {
   ScriptedLedger ledger({ledger::ReservationOutcome::Unavailable},
-                        ledger::ReservationOutlook::Doubtful);
+                        ledger::ReservationOutlook::Uncertain);
   EdgeContext context = contextWith(ledger);
   const auto client = startIn(context);
   LONGS_EQUAL(503, client->status);
@@ -420,7 +420,7 @@
   wait();
   for (int step = 0; step < 10; ++step) {
     for (const routing::ReplicaPtr& replica : world.replicas.all()) {
-      replica->heardAt = world.timers.now;
+      replica->lastDataAt = world.timers.now;
     }
     world.timers.advance(milliseconds(200));
   }
@@ -433,7 +433,7 @@
   const auto failed = [this] {
     double sum = 0;
     for (const routing::ReplicaPtr& replica : world.replicas.all()) {
-      replica->heardAt = world.timers.now;  // It answers other requests.
+      replica->lastDataAt = world.timers.now;  // It answers other requests.
       sum += replica->outcomes.failed(world.timers.now);
     }
     return sum;
--- a/tests/http/http_server_test.cpp
+++ b/tests/http/http_server_test.cpp
@@ -437,9 +437,9 @@
   for (const ResponseWriterPtr& writer : writers) {
     writer->sendWhole({200, {}, std::string(kAnswerBytes, 'x')});
   }
-  until([this] { return server->counters().callersCut > 0; });
-  CHECK(server->counters().bytesUntaken <= knobs.maximumUntakenBytes);
-  LONGS_EQUAL(server->counters().callersCut, gone);
+  until([this] { return server->counters().connectionsClosedForUnreadBytes > 0; });
+  CHECK(server->counters().unreadBytes <= knobs.maximumUntakenBytes);
+  LONGS_EQUAL(server->counters().connectionsClosedForUnreadBytes, gone);
   // A client that reads is still served.
   RawClient reader(context, server->listeningPort());
   reader.startReading();
@@ -449,5 +449,5 @@
   until([&reader] { return reader.has("small"); });
   // Disconnecting clients releases their queued bytes.
   callers.clear();
-  until([this] { return server->counters().bytesUntaken == 0; });
+  until([this] { return server->counters().unreadBytes == 0; });
 }
--- a/tests/platform/documents_fuzz_test.cpp
+++ b/tests/platform/documents_fuzz_test.cpp
@@ -13,9 +13,9 @@
 #include "dispatch/fake_http_client.h"
 #include "http/address.h"
 #include "platform/documents.h"
+#include "platform/http_log_store.h"
 #include "platform/json_fields.h"
-#include "platform/store_calls.h"
-#include "whole_documents.h"
+#include "valid_documents.h"
 // CppUTest redefines `new`: it comes after the standard headers.
 #include "fuzz_fixture.h"
 
@@ -144,7 +144,7 @@
   tenant::ApiKeyHasher hasher{tenant::ApiKeyHasher::Secret{5}};
   JsonDocumentAdapter adapter{hasher};
   node::testing::FakeHttpClient client;
-  StoreCalls store{client, "10.200.1.7:8142"};
+  HttpLogStore store{client, "10.200.1.7:8142"};
 
   void teardown() override {
     // Freed while leak checks are off, because the exchanges were allocated while they were off.
@@ -214,23 +214,23 @@
 TEST(DocumentsFuzz, listings) {
   checkAll("listing", mutationsOf(kListingResponse), [this](const std::string& body) {
     std::string fault;
-    store.newest({{"keyed.op", 0}, "", seconds(1)},
-                 [&](const logstore::StoreResult<logstore::NewestReply>& result) {
-                   const auto* const reply = std::get_if<logstore::NewestReply>(&result);
-                   if (reply == nullptr) {
-                     return;
-                   }
-                   const Json written = Json::parse(body, nullptr, false);
-                   const Json& items = written["items"];
-                   fault = items.size() == reply->items.size() ? "" : "the items differ";
-                   for (std::size_t index = 0; fault.empty() && index < items.size(); ++index) {
-                     const logstore::KeyedItem& item = reply->items[index];
-                     const std::string value = items[index]["value"];
-                     const bool same = hasString(items[index], "privateKey", item.key) &&
-                                       item.value == decodeBase64(value).value_or(value);
-                     fault = same ? "" : "an item differs";
-                   }
-                 });
+    store.listLatest({{"keyed.op", 0}, "", seconds(1)},
+                     [&](const logstore::StoreResult<logstore::NewestReply>& result) {
+                       const auto* const reply = std::get_if<logstore::NewestReply>(&result);
+                       if (reply == nullptr) {
+                         return;
+                       }
+                       const Json written = Json::parse(body, nullptr, false);
+                       const Json& items = written["items"];
+                       fault = items.size() == reply->items.size() ? "" : "the items differ";
+                       for (std::size_t index = 0; fault.empty() && index < items.size(); ++index) {
+                         const logstore::KeyedItem& item = reply->items[index];
+                         const std::string value = items[index]["value"];
+                         const bool same = hasString(items[index], "privateKey", item.key) &&
+                                           item.value == decodeBase64(value).value_or(value);
+                         fault = same ? "" : "an item differs";
+                       }
+                     });
     client.last().handler.onDone({200, {}, body});
     client.exchanges.clear();
     return fault;
